--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -13,23 +13,23 @@
 	"cottonwell/internal/invariant"
 )
 
-// quiet is a transport and a client that cost nothing: attempts are only written down.
-type quiet struct{ started []Attempt }
+// nullTransport is a transport and a listener at almost no cost. It only records started attempts.
+type nullTransport struct{ started []Attempt }
 
-func (q *quiet) Start(a Attempt)   { q.started = append(q.started, a) }
-func (q *quiet) Cancel(Attempt)    {}
-func (q *quiet) Probe(string)      {}
-func (q *quiet) Listed(Group)      {}
-func (q *quiet) Answer(Answer)     {}
-func (q *quiet) Progress(Progress) {}
+func (q *nullTransport) Start(a Attempt)   { q.started = append(q.started, a) }
+func (q *nullTransport) Cancel(Attempt)    {}
+func (q *nullTransport) Probe(string)      {}
+func (q *nullTransport) Listed(Group)      {}
+func (q *nullTransport) Answer(Answer)     {}
+func (q *nullTransport) Progress(Progress) {}
 
-// BenchmarkRequest is the cost in the core of a request with its start and its end, the module's part and
-// telling among it, by targets and schedulers.
+// BenchmarkRequest measures the cost of one request with its start and its end, by the number of targets and of schedulers.
+// The cost includes the decision module and the messages to other schedulers.
 func BenchmarkRequest(b *testing.B) {
 	for _, targets := range []int{20, 200, 1000} {
 		for _, peers := range []int{2, 300, 1000} {
 			b.Run(fmt.Sprintf("targets=%d/peers=%d", targets, peers), func(b *testing.B) {
-				clk, q := clock.NewManual(1.7e12), &quiet{}
+				clk, q := clock.NewManual(1.7e12), &nullTransport{}
 				s := balance.Settings{Fleet: peers, Zone: "a", Tick: 5 * time.Millisecond, MaxAttempts: 3, TellsStart: true, Cancel: true, Peers: true,
 					AnswerSlack: 20 * time.Millisecond, ColdFrom: 0.3, ColdFor: 10 * time.Second, FallMultiple: 3, FallWindow: time.Second,
 					Classes: []balance.Class{{Name: "c", Aim: 200 * time.Millisecond, Stretch: 2, Deadline: 5 * time.Second, Worth: 1}}}
@@ -46,23 +46,23 @@
 					e.apply(c)
 					c.route()
 				}
-				do(listed{"test", g})
+				do(listEvent{"test", g})
 				b.ReportAllocs()
 				b.ResetTimer()
 				for n := range b.N {
 					clk.Advance(50)
-					for c.timers.due(clk.Now(), c.ring) {
+					for c.timers.fireEarliest(clk.Now(), c.fire) {
 						c.route()
 					}
 					id := strconv.Itoa(n)
-					do(takeIn{&Request{ID: id, Class: "c", Patience: 5000, Slots: 1, From: q}, clk.Now()})
+					do(acceptEvent{&Request{ID: id, Class: "c", Patience: 5000, Slots: 1, From: q}, clk.Now()})
 					if len(q.started) != 1 {
-						b.Fatal("not sent")
+						b.Fatal("no attempt was started")
 					}
 					at := q.started[0]
 					q.started = q.started[:0]
-					do(news{TargetNews{ID: id, From: at.Target, Progress: &Progress{Started: true}}})
-					do(news{TargetNews{ID: id, From: at.Target, Result: balance.OK, Body: "x", Report: balance.Report{Present: true, InFlight: 1, Free: 3}}})
+					do(targetUpdateEvent{TargetNews{ID: id, From: at.Target, Progress: &Progress{Started: true}}})
+					do(targetUpdateEvent{TargetNews{ID: id, From: at.Target, Result: balance.OK, Body: "x", Report: balance.Report{Present: true, InFlight: 1, Free: 3}}})
 				}
 			})
 		}
--- a/internal/core/book.go
+++ b/internal/core/book.go
@@ -9,86 +9,87 @@
 	"cottonwell/balance"
 )
 
-// Books are a core's counts since its start.
+// Books are the counters of a Core since its start.
 type Books struct {
-	Taken, Served, Refused, Failed, Left int // flows, by how they ended
-	Twice, Full                          int // not admitted: id in use; too many open
+	Taken, Served, Refused, Failed, Left int // flows: accepted, then by how they ended
+	Twice, Full                          int // flows not admitted: id in use; too many open
 	Sends, Cancels                       int
-	Probes, ProbesEnded                  int            // begun; ended, in whatever way
-	Lists, ListFailures                  int            // lists and changes heard; watches that failed
-	SignsOfLife                          int            // on watches, between lists
-	Withheld                             int            // targets that nothing may be sent to, as the lease on the list ran out or they said that they drain
-	WordsTold, WordsPassedOn             int            // datagrams about discovery's word; those by which this one was renewed
-	Lapses, RefusedLapsed                int            // times that the lease ran out; refusals while it had
-	LapsedFor                            float64        // ms without a lease until it was renewed last, those before the first list included
-	Outcomes                             [8]int         // by balance.Result
-	Dropped                              map[string]int // late news, by what it was
+	Probes, ProbesEnded                  int            // requested; ended with any result
+	Lists, ListFailures                  int            // lists and changes received; watches that failed
+	SignsOfLife                          int            // heartbeats on watches, between lists
+	Withheld                             int            // targets withheld now: the lease on the list expired, or they reported that they drain
+	WordsTold, WordsPassedOn             int            // datagrams sent about the list; those received that renewed the lease
+	Lapses, RefusedLapsed                int            // expiries of the lease; refusals while it was expired
+	LapsedFor                            float64        // milliseconds without a valid lease, up to its last renewal; includes the time before the first list
+	Outcomes                             [8]int         // ended attempts, indexed by balance.Result
+	Dropped                              map[string]int // events dropped because they came too late, by description
 	Open, Targets                        int
-	Room                                 slog.Value // of held room; empty while it is off
-	Unreadable                           int        // datagrams that could not be read
+	Room                                 slog.Value // state of the reservation planner; empty if disabled
+	Unreadable                           int        // datagrams that could not be parsed
 	Reasons                              Reasons
 }
 
-func (b *Books) outcome(r balance.Result) {
+func (b *Books) countOutcome(r balance.Result) {
 	if r >= 0 && int(r) < len(b.Outcomes) {
 		b.Outcomes[r]++
 	}
 }
 
-// LogValue is a flow's story so far: its attempts with the milliseconds from its taking in to
-// their begin and end, and how they ended.
+// LogValue returns a flow's history for the log: each attempt with its target, its start and end in milliseconds since the
+// flow was accepted, and its result.
 func (f *flow) LogValue() slog.Value {
-	var tries strings.Builder
-	taken := f.deadline - f.Patience
+	var attempts strings.Builder
+	acceptedAt := f.deadline - f.Patience
 	for _, a := range f.attempts {
-		fmt.Fprintf(&tries, " %s %.0f", a.target, a.sentAt-taken)
+		fmt.Fprintf(&attempts, " %s %.0f", a.target, a.sentAt-acceptedAt)
 		if a.ended {
-			fmt.Fprintf(&tries, "-%.0f=%v", a.endedAt-taken, a.result)
+			fmt.Fprintf(&attempts, "-%.0f=%v", a.endedAt-acceptedAt, a.result)
 		}
 	}
 	return slog.GroupValue(slog.String("id", f.ID), slog.String("class", f.Class), slog.Float64("slots", f.Slots), slog.Float64("patience", f.Patience),
-		slog.String("attempts", strings.TrimSpace(tries.String())))
+		slog.String("attempts", strings.TrimSpace(attempts.String())))
 }
 
-// finish marks a flow as over for its client.
-func (c *Core) finish(f *flow) {
+// closeForClient marks a flow as finished for its client.
+func (c *Core) closeForClient(f *flow) {
 	f.answered = true
-	c.open--
-	if c.open == 0 {
-		for _, ch := range c.idle {
+	c.openFlows--
+	if c.openFlows == 0 {
+		for _, ch := range c.idleWaiters {
 			close(ch)
 		}
-		c.idle = nil
+		c.idleWaiters = nil
 	}
-	c.book(f)
+	c.removeIfDone(f)
 }
 
-// book closes the account of a flow that is over once nothing of it is out.
-func (c *Core) book(f *flow) {
-	if !f.answered || f.out >= 0 {
+// removeIfDone removes a flow that is finished for its client and has no outstanding attempt.
+func (c *Core) removeIfDone(f *flow) {
+	if !f.answered || f.outstanding >= 0 {
 		return
 	}
 	if c.flows[f.number] == f {
 		delete(c.flows, f.number)
-		delete(c.byID, f.ID)
-		c.free(f)
+		delete(c.flowsByID, f.ID)
+		c.releaseBody(f)
 	}
 }
 
-func (c *Core) free(f *flow) {
+// releaseBody releases the core's reference to a flow's body.
+func (c *Core) releaseBody(f *flow) {
 	if f.Job.Body != nil {
 		f.Job.Body.Release()
 		f.Job.Body = nil
 	}
 }
 
-// drop counts something that came too late to matter.
-func (c *Core) drop(what string) { c.books.Dropped[what]++ }
+// countDropped counts an event that came too late to have an effect.
+func (c *Core) countDropped(what string) { c.stats.Dropped[what]++ }
 
-// Books returns the counts, or what they were if the core has stopped.
+// Books returns the counters, or what they were if the core has stopped.
 func (c *Core) Books() Books {
 	ch := make(chan Books, 1)
-	c.post(readBooks{ch})
+	c.post(statsQuery{ch})
 	select {
 	case b := <-ch:
 		return b
@@ -97,15 +98,15 @@
 	}
 }
 
-type readBooks struct{ ch chan Books }
+type statsQuery struct{ reply chan Books }
 
-func (e readBooks) apply(c *Core) {
-	b := c.books
+func (e statsQuery) apply(c *Core) {
+	b := c.stats
 	b.Dropped = maps.Clone(b.Dropped)
 	b.Reasons = c.trace.reasons.clone()
-	b.Open, b.Targets, b.Unreadable, b.Withheld = c.open, len(c.targets), c.module.Unreadable+c.unreadable, c.withholds()
+	b.Open, b.Targets, b.Unreadable, b.Withheld = c.openFlows, len(c.sourceByTarget), c.module.Unreadable+c.unreadableMessages, c.withheldCount()
 	if p := c.module.Room(); p != nil {
 		b.Room = p.LogValue()
 	}
-	e.ch <- b
+	e.reply <- b
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -13,102 +13,102 @@
 	"cottonwell/internal/room"
 )
 
-// Config is what a core is made from.
+// Config configures a Core. The functions in it are called from the core's goroutine and must not block.
 type Config struct {
 	Settings   balance.Settings
 	Seed       uint64
 	Clock      clock.Clock
 	Log        *slog.Logger
 	Invariants *invariant.Set
-	// ComeBack is the advice on a refusal for which the module gives none, in ms.
+	// ComeBack is the retry-after of a refusal for which the decision module sets none, in milliseconds.
 	ComeBack float64
-	// MaxOpen is how many flows may be open at once.
+	// MaxOpen is the maximum number of flows without a final response; 0: unlimited.
 	MaxOpen int
-	// Tell sends a message to other schedulers, by their numbers (nil: all of them); nil where there is
-	// no way to them.
+	// Tell sends a message to the schedulers of the given numbers (nil: all others). It is nil if schedulers exchange no
+	// messages.
 	Tell func(to []int, raw string)
-	// Room sets the planner of held room up; nil while that is off.
+	// Room configures the reservation planner; nil if disabled.
 	Room *room.Config
-	// Doubt, Probed and Listed tell whoever examines targets for the fleet what this scheduler takes out of
-	// its draw, how probes end and which targets there are; nil where nobody does. None may wait.
+	// Doubt, Probed and Listed report to the fleet's examiner of targets: the targets that this scheduler suspects and no
+	// longer selects, the results of probes, and the listed targets. They are nil if disabled.
 	Doubt  func(target string, failing bool)
 	Probed func(target string, answered bool)
 	Listed func(targets []Target)
-	// Asked counts a tenant's requests for whoever adds them up over the fleet, later tries of a client left
-	// out; nil where nobody does. It may not wait.
+	// Asked counts a request of a tenant for the fleet-wide total. It is not called for retries of a client. It is nil if
+	// disabled.
 	Asked func(tenant string)
-	// ListLease is for how long, in ms, a list is acted on after the last word of its source; 0: for ever. It holds for
-	// the source that has a Watch.
+	// ListLease is how long a list is used after its source last confirmed it, in milliseconds; 0: without limit. It
+	// applies to the source that has a Watch.
 	ListLease float64
-	// UnwatchedLease is the same while no watch is open; 0: as long.
+	// UnwatchedLease replaces ListLease while no watch is open, in milliseconds; 0: the same as ListLease.
 	UnwatchedLease float64
-	// MovedLease is for how long, in ms, it is acted on after the source has moved, until it is heard anew; 0: no less
-	// long than without that.
+	// MovedLease limits how long the list is used after the address of the source changed and before the new address
+	// confirms it, in milliseconds; 0: a change of address does not shorten the lease.
 	MovedLease float64
-	// Stray takes news of a job that is unknown here, for another process of this scheduler; nil where there can be none.
-	// It may not wait.
+	// Stray receives callbacks about jobs that this process does not know, to be forwarded to another process of this
+	// scheduler. It is nil if there is no such process.
 	Stray func(TargetNews)
-	// Known is the list as it was held last, by source; the module learns it first.
+	// Known is the last stored list of each source. It is loaded before Run handles any other event.
 	Known map[string]Group
 }
 
 // Core runs the flows of one scheduler.
 type Core struct {
-	cfg     Config
-	log     *slog.Logger
-	clock   clock.Clock
-	inv     *invariant.Set
-	module  *decide.Decider
-	sources map[string]*source
-	events  chan event
-	done    chan struct{} // closed when Run returns
-
-	// What follows belongs to Run's goroutine.
-	flows   map[uint64]*flow
-	byID    map[string]*flow
-	last    uint64 // number of the newest flow
-	open    int    // flows without a final answer
-	targets map[string]*source
-	offline map[string]bool // targets under maintenance; each was listed when it went offline
-	timers  timers
-	steps   []balance.Event // for the module, in order
-	acts    []balance.Action
-	books   Books
-	trace   trace
-	idle    []chan struct{}    // closed once no flow is open
-	longest map[string]float64 // patience that came with a request, by class
-	classes map[string]*balance.Class
-	// finished says that the program ends: nothing is taken in any more.
-	finished bool
-	fresh    chan struct{} // closed once there is a list that may be acted on
-	ruling
+	cfg        Config
+	log        *slog.Logger
+	clock      clock.Clock
+	invariants *invariant.Set
+	module     *decide.Decider
+	sources    map[string]*source
+	events     chan event
+	done       chan struct{} // closed when Run returns
+
+	// The fields below are accessed by Run's goroutine only.
+	flows          map[uint64]*flow
+	flowsByID      map[string]*flow
+	lastFlow       uint64 // number of the newest flow
+	openFlows      int    // flows without a final response
+	sourceByTarget map[string]*source
+	offline        map[string]bool // targets under maintenance; each was listed when it went offline
+	timers         timers
+	pendingEvents  []balance.Event // not yet passed to the decision module, in order
+	actions        []balance.Action
+	stats          Books
+	trace          trace
+	idleWaiters    []chan struct{}    // each is closed once no flow is open
+	longestTimeout map[string]float64 // longest client timeout seen, in milliseconds, by class
+	classes        map[string]*balance.Class
+	// shuttingDown is set by Finish. New requests are refused from then on.
+	shuttingDown bool
+	listReady    chan struct{} // closed once the list may be used
+	activeRules
 	listLease
 }
 
 type source struct {
 	Source
-	members map[string]Target
+	targets map[string]Target
 }
 
 type event interface{ apply(*Core) }
 
-// New returns a core that has not begun, or says what is wrong with its settings.
+// New returns a core that is not running yet, or an error if the settings are invalid.
 func New(cfg Config, sources ...Source) (*Core, error) {
 	module, err := decide.New(cfg.Settings, cfg.Seed, cfg.Room)
 	if err != nil {
 		return nil, fmt.Errorf("decision module: %w", err)
 	}
-	c := &Core{cfg: cfg, log: cfg.Log, clock: cfg.Clock, inv: cfg.Invariants, module: module,
+	c := &Core{cfg: cfg, log: cfg.Log, clock: cfg.Clock, invariants: cfg.Invariants, module: module,
 		sources: map[string]*source{}, events: make(chan event, 1024), done: make(chan struct{}),
-		flows: map[uint64]*flow{}, byID: map[string]*flow{}, targets: map[string]*source{}, offline: map[string]bool{},
-		fresh: make(chan struct{}), books: Books{Dropped: map[string]int{}}, trace: newTrace(cfg.Log), longest: map[string]float64{},
-		classes: map[string]*balance.Class{}, ruling: ruling{rules: Rules{Cold: 1}}}
+		flows: map[uint64]*flow{}, flowsByID: map[string]*flow{}, sourceByTarget: map[string]*source{}, offline: map[string]bool{},
+		listReady: make(chan struct{}), stats: Books{Dropped: map[string]int{}}, trace: newTrace(cfg.Log), longestTimeout: map[string]float64{},
+		classes: map[string]*balance.Class{}, activeRules: activeRules{rules: Rules{Cold: 1}}}
 	for i := range cfg.Settings.Classes {
 		class := &cfg.Settings.Classes[i]
-		c.longest[class.Name], c.classes[class.Name] = 0, class
+		c.longestTimeout[class.Name], c.classes[class.Name] = 0, class
 	}
 	for _, s := range sources {
-		c.sources[s.Name] = &source{Source: s, members: map[string]Target{}}
+		c.sources[s.Name] = &source{Source: s, targets: map[string]Target{}}
 	}
 	if err := c.startLease(); err != nil {
 		return nil, err
@@ -116,7 +116,7 @@
 	return c, nil
 }
 
-// post hands an event to Run. After Run has returned, events have no receiver.
+// post sends an event to Run. It drops the event if Run has returned.
 func (c *Core) post(e event) {
 	select {
 	case c.events <- e:
@@ -124,18 +124,18 @@
 	}
 }
 
-// Run takes events until ctx ends.
+// Run handles events and timers until ctx is done.
 func (c *Core) Run(ctx context.Context) {
 	defer close(c.done)
 	alarm := c.clock.NewAlarm()
 	defer alarm.Stop()
 	for name, g := range c.cfg.Known {
 		g.Scope = balance.FromDisk
-		listed{name, g}.apply(c)
+		listEvent{name, g}.apply(c)
 		c.route()
 	}
 	for {
-		if at, ok := c.timers.first(); ok {
+		if at, ok := c.timers.earliest(); ok {
 			alarm.Set(at)
 		}
 		select {
@@ -146,170 +146,171 @@
 		case <-alarm.C():
 		}
 		c.route()
-		for c.timers.due(c.clock.Now(), c.ring) {
+		for c.timers.fireEarliest(c.clock.Now(), c.fire) {
 			c.route()
 		}
 	}
 }
 
-// Fresh returns a channel that is closed once there is a list that may be acted on, by discovery's own word or one that was
-// passed on.
-func (c *Core) Fresh() <-chan struct{} { return c.fresh }
+// Fresh returns a channel that is closed once the list may be used: when discovery, or another scheduler that forwards its
+// confirmation, has confirmed it. Without a lease it is closed from the start.
+func (c *Core) Fresh() <-chan struct{} { return c.listReady }
 
 // Idle returns a channel that is closed once no flow is open.
 func (c *Core) Idle() <-chan struct{} {
 	ch := make(chan struct{})
-	c.post(waitIdle{ch})
+	c.post(idleQuery{ch})
 	return ch
 }
 
-type waitIdle struct{ ch chan struct{} }
+type idleQuery struct{ done chan struct{} }
 
-func (e waitIdle) apply(c *Core) {
-	if c.open == 0 {
-		close(e.ch)
+func (e idleQuery) apply(c *Core) {
+	if c.openFlows == 0 {
+		close(e.done)
 		return
 	}
-	c.idle = append(c.idle, e.ch)
+	c.idleWaiters = append(c.idleWaiters, e.done)
 }
 
-// List tells the core of targets.
-func (c *Core) List(from string, g Group) { c.post(listed{from, g}) }
+// List passes a list of targets, or changes to it, from the named source.
+func (c *Core) List(from string, g Group) { c.post(listEvent{from, g}) }
 
-type listed struct {
-	from  string
-	group Group
+type listEvent struct {
+	source string
+	group  Group
 }
 
-func (e listed) apply(c *Core) {
-	s := c.sources[e.from]
+func (e listEvent) apply(c *Core) {
+	s := c.sources[e.source]
 	if s == nil {
-		c.drop("list from an unknown source")
+		c.countDropped("list from an unknown source")
 		return
 	}
 	if e.group.Scope == balance.AskFailed {
-		c.books.ListFailures++
-		c.step(balance.Event{Kind: balance.Listed, List: balance.AskFailed})
-		c.listLost(s)
+		c.stats.ListFailures++
+		c.enqueue(balance.Event{Kind: balance.Listed, List: balance.AskFailed})
+		c.watchLost(s)
 		return
 	}
-	c.books.Lists++
+	c.stats.Lists++
 	if e.group.Scope != balance.Changes {
-		for id := range s.members {
-			delete(c.targets, id)
+		for id := range s.targets {
+			delete(c.sourceByTarget, id)
 		}
-		clear(s.members)
+		clear(s.targets)
 	}
 	for i := range e.group.Targets {
 		t := &e.group.Targets[i]
 		t.Started = clock.Duration(t.StartedMS)
 		if t.State == balance.Gone {
-			delete(s.members, t.ID)
-			delete(c.targets, t.ID)
+			delete(s.targets, t.ID)
+			delete(c.sourceByTarget, t.ID)
 		} else {
-			s.members[t.ID] = *t
-			c.targets[t.ID] = s
+			s.targets[t.ID] = *t
+			c.sourceByTarget[t.ID] = s
 		}
 	}
-	changed := c.listHeard(s, &e.group)
+	changed := c.updateLeaseList(s, &e.group)
 	ev := balance.Event{Kind: balance.Listed, List: e.group.Scope}
 	for _, t := range e.group.Targets {
-		ev.Members = append(ev.Members, c.member(t))
+		ev.Members = append(ev.Members, c.memberOf(t))
 	}
 	if e.group.Scope != balance.Changes {
-		// The module takes a whole list for all that there is, so the other sources' targets go in too.
+		// The decision module treats a whole list as the list of all sources, so the other sources' targets are added.
 		for _, other := range c.sources {
 			if other == s {
 				continue
 			}
-			for _, t := range other.members {
-				ev.Members = append(ev.Members, c.member(t))
+			for _, t := range other.targets {
+				ev.Members = append(ev.Members, c.memberOf(t))
 			}
 		}
 	}
-	s.Transport.Listed(c.maintainedGroup(e.group))
-	c.step(ev)
-	c.leaseReviewed(s, changed)
+	s.Transport.Listed(c.applyMaintenance(e.group))
+	c.enqueue(ev)
+	c.afterLeaseEvent(s, changed)
 	if c.cfg.Listed != nil {
-		all := make([]Target, 0, len(c.targets))
-		for id, s := range c.targets {
-			all = append(all, s.members[id])
+		all := make([]Target, 0, len(c.sourceByTarget))
+		for id, s := range c.sourceByTarget {
+			all = append(all, s.targets[id])
 		}
 		c.cfg.Listed(all)
 	}
 }
 
-// Heard tells what another scheduler said, by its number in the settings.
-func (c *Core) Heard(who int, raw string) { c.post(heard{who, raw}) }
+// Heard passes a message that was received from another scheduler, identified by its number in the settings.
+func (c *Core) Heard(who int, raw string) { c.post(peerMessageEvent{who, raw}) }
 
-type heard struct {
-	who int
-	raw string
+type peerMessageEvent struct {
+	sender int
+	raw    string
 }
 
-func (e heard) apply(c *Core) {
+func (e peerMessageEvent) apply(c *Core) {
 	if gossip.IsAboutLists(e.raw) {
-		c.wordHeard(e.who, e.raw)
+		c.receiveListMessage(e.sender, e.raw)
 		return
 	}
-	c.step(balance.Event{Kind: balance.PeerSpoke, Who: e.who, Raw: e.raw})
+	c.enqueue(balance.Event{Kind: balance.PeerSpoke, Who: e.sender, Raw: e.raw})
 }
 
-// ProbeEnded tells how a probe ended.
-func (c *Core) ProbeEnded(r ProbeResult) { c.post(probed{r}) }
+// ProbeEnded passes the result of a probe.
+func (c *Core) ProbeEnded(r ProbeResult) { c.post(probeEvent{r}) }
 
-type probed struct{ r ProbeResult }
+type probeEvent struct{ result ProbeResult }
 
-func (e probed) apply(c *Core) {
-	c.books.ProbesEnded++
-	c.step(balance.Event{Kind: balance.Probed, Worker: e.r.Target, Result: e.r.Result,
-		Elapsed: clock.Duration(e.r.Elapsed), Report: e.r.Report})
-	c.probeHeard(e.r)
+func (e probeEvent) apply(c *Core) {
+	c.stats.ProbesEnded++
+	c.enqueue(balance.Event{Kind: balance.Probed, Worker: e.result.Target, Result: e.result.Result,
+		Elapsed: clock.Duration(e.result.Elapsed), Report: e.result.Report})
+	c.updateLeaseProbe(e.result)
 	if c.cfg.Probed != nil {
-		c.cfg.Probed(e.r.Target, e.r.Result != balance.NoConnection && e.r.Result != balance.TimedOut)
+		c.cfg.Probed(e.result.Target, e.result.Result != balance.NoConnection && e.result.Result != balance.TimedOut)
 	}
 }
 
-// Examine has a target probed for the fleet. One that is gone by now is not.
-func (c *Core) Examine(target string) { c.post(examine(target)) }
+// Examine probes a target for the fleet's examiner. A target that is no longer listed is not probed.
+func (c *Core) Examine(target string) { c.post(examineEvent(target)) }
 
-type examine string
+type examineEvent string
 
-func (e examine) apply(c *Core) {
+func (e examineEvent) apply(c *Core) {
 	c.probe(string(e))
 }
 
-// probe has a target probed, and says whether there is one of that name.
+// probe requests a probe of a target. It reports whether the target is listed.
 func (c *Core) probe(target string) bool {
-	s := c.targets[target]
+	s := c.sourceByTarget[target]
 	if s != nil {
-		c.books.Probes++
+		c.stats.Probes++
 		s.Transport.Probe(target)
 	}
 	return s != nil
 }
 
-// Judge tells of a target that one scheduler has judged for all: nothing goes there for so many ms, or
-// it may be tried again (0).
-func (c *Core) Judge(target string, lasts float64) { c.post(judged{target, lasts}) }
+// Judge passes the examiner's verdict on a target for the whole fleet: nothing is sent to the target for a duration in
+// milliseconds, or it may be used again (0).
+func (c *Core) Judge(target string, lasts float64) { c.post(verdictEvent{target, lasts}) }
 
-type judged struct {
-	target string
-	lasts  float64
+type verdictEvent struct {
+	target   string
+	duration float64
 }
 
-func (e judged) apply(c *Core) {
-	c.step(balance.Event{Kind: balance.Judged, Worker: e.target, Elapsed: clock.Duration(e.lasts)})
+func (e verdictEvent) apply(c *Core) {
+	c.enqueue(balance.Event{Kind: balance.Judged, Worker: e.target, Elapsed: clock.Duration(e.duration)})
 }
 
-// Share tells which part of what tenants ask lies within their shares, for so many ms.
-func (c *Core) Share(parts map[string]float64, lasts float64) { c.post(shared{parts, lasts}) }
+// Share passes the part of each tenant's requests that is within its share. The parts apply for a duration in
+// milliseconds.
+func (c *Core) Share(parts map[string]float64, lasts float64) { c.post(sharesEvent{parts, lasts}) }
 
-type shared struct {
-	parts map[string]float64
-	lasts float64
+type sharesEvent struct {
+	parts    map[string]float64
+	duration float64
 }
 
-func (e shared) apply(c *Core) {
-	c.step(balance.Event{Kind: balance.Shared, Parts: e.parts, Elapsed: clock.Duration(e.lasts)})
+func (e sharesEvent) apply(c *Core) {
+	c.enqueue(balance.Event{Kind: balance.Shared, Parts: e.parts, Elapsed: clock.Duration(e.duration)})
 }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -17,27 +17,27 @@
 	"cottonwell/internal/invariant"
 )
 
-// bench is a core on a clock set by hand, with a transport that only writes down what it
-// is asked to do. The core's goroutine is not started: events are applied one by one.
-type bench struct {
-	t       *testing.T
-	clock   *clock.Manual
-	core    *Core
-	started []Attempt
-	stopped []Attempt
-	answers []Answer
-	news    []Progress
+// harness runs a core on a manual clock and is its transport and its listener. It only records the calls. The core's
+// goroutine is not started: the test applies events one by one.
+type harness struct {
+	t         *testing.T
+	clock     *clock.Manual
+	core      *Core
+	started   []Attempt
+	cancelled []Attempt
+	answers   []Answer
+	progress  []Progress
 }
 
-func (b *bench) Start(a Attempt)     { b.started = append(b.started, a) }
-func (b *bench) Cancel(a Attempt)    { b.stopped = append(b.stopped, a) }
-func (b *bench) Probe(string)        {}
-func (b *bench) Listed(Group)        {}
-func (b *bench) Answer(a Answer)     { b.answers = append(b.answers, a) }
-func (b *bench) Progress(p Progress) { b.news = append(b.news, p) }
+func (h *harness) Start(a Attempt)     { h.started = append(h.started, a) }
+func (h *harness) Cancel(a Attempt)    { h.cancelled = append(h.cancelled, a) }
+func (h *harness) Probe(string)        {}
+func (h *harness) Listed(Group)        {}
+func (h *harness) Answer(a Answer)     { h.answers = append(h.answers, a) }
+func (h *harness) Progress(p Progress) { h.progress = append(h.progress, p) }
 
-func newBench(t *testing.T, targets int) *bench {
-	b := &bench{t: t, clock: clock.NewManual(1.7e12)}
+func newHarness(t *testing.T, targets int) *harness {
+	h := &harness{t: t, clock: clock.NewManual(1.7e12)}
 	s := balance.Settings{Fleet: 1, Zone: "a", Tick: 5 * time.Millisecond, MaxAttempts: 3, TellsStart: true, Cancel: true,
 		AnswerSlack: 20 * time.Millisecond, ColdFrom: 0.3, ColdFor: 10 * time.Second, FallMultiple: 3, FallWindow: time.Second,
 		Classes: []balance.Class{{Name: "c", Aim: 200 * time.Millisecond, Stretch: 2, Deadline: 5 * time.Second, Worth: 1},
@@ -48,106 +48,106 @@
 		known.Targets = append(known.Targets, Target{Member: balance.Member{ID: string(rune('a' + i)), Zone: "a", Cell: string(rune('1' + i))}})
 	}
 	var err error
-	b.core, err = New(Config{Settings: s, Seed: 1, Clock: b.clock, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
-		Invariants: invariant.New(), ComeBack: 1000, MaxOpen: 5}, Source{Name: "test", Transport: b})
+	h.core, err = New(Config{Settings: s, Seed: 1, Clock: h.clock, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
+		Invariants: invariant.New(), ComeBack: 1000, MaxOpen: 5}, Source{Name: "test", Transport: h})
 	require.NoError(t, err)
 	known.Scope = balance.FromDisk
-	b.do(listed{"test", known})
-	return b
+	h.apply(listEvent{"test", known})
+	return h
 }
 
-func (b *bench) do(e event) {
-	e.apply(b.core)
-	b.core.route()
+func (h *harness) apply(e event) {
+	e.apply(h.core)
+	h.core.route()
 }
 
-func (b *bench) pass(ms float64) {
-	b.clock.Advance(ms)
-	for b.core.timers.due(b.clock.Now(), b.core.ring) {
-		b.core.route()
+func (h *harness) advance(ms float64) {
+	h.clock.Advance(ms)
+	for h.core.timers.fireEarliest(h.clock.Now(), h.core.fire) {
+		h.core.route()
 	}
 }
 
-func (b *bench) take(id, class string) {
-	b.do(takeIn{&Request{ID: id, Class: class, Patience: 5000, Slots: 1, From: b}, b.clock.Now()})
+func (h *harness) accept(id, class string) {
+	h.apply(acceptEvent{&Request{ID: id, Class: class, Patience: 5000, Slots: 1, From: h}, h.clock.Now()})
 }
 
 func TestOneFinalAnswerAndLateNewsIsDropped(t *testing.T) {
-	b := newBench(t, 1)
-	b.take("x", "c")
-	require.Len(t, b.started, 1)
-	b.do(news{TargetNews{ID: "x", From: "a", Result: balance.OK, Body: "first"}})
-	b.do(news{TargetNews{ID: "x", From: "a", Result: balance.OK, Body: "second"}})
-	b.do(ended{Outcome{Ref: b.started[0].Ref, Result: balance.Failed}})
-	require.Equal(t, []Answer{{Kind: Served, Body: "first"}}, b.answers)
-	require.Equal(t, map[string]int{"news of an attempt that is over": 1, "outcome of an attempt that is over": 1}, b.core.books.Dropped)
-	require.Empty(t, b.core.flows)
-	require.Empty(t, b.core.byID)
+	h := newHarness(t, 1)
+	h.accept("x", "c")
+	require.Len(t, h.started, 1)
+	h.apply(targetUpdateEvent{TargetNews{ID: "x", From: "a", Result: balance.OK, Body: "first"}})
+	h.apply(targetUpdateEvent{TargetNews{ID: "x", From: "a", Result: balance.OK, Body: "second"}})
+	h.apply(outcomeEvent{Outcome{Ref: h.started[0].Ref, Result: balance.Failed}})
+	require.Equal(t, []Answer{{Kind: Served, Body: "first"}}, h.answers)
+	require.Equal(t, map[string]int{"news of an attempt that is over": 1, "outcome of an attempt that is over": 1}, h.core.stats.Dropped)
+	require.Empty(t, h.core.flows)
+	require.Empty(t, h.core.flowsByID)
 }
 
-// A target's word about another's attempt, or about one that was sent elsewhere since, is not
-// the flow's outcome: served by it, the client would get what the flow no longer stands for.
-func TestNewsOfAnotherTargetIsNotHeard(t *testing.T) {
-	b := newBench(t, 2)
-	b.take("x", "c")
-	other := map[string]string{"a": "b", "b": "a"}[b.started[0].Target]
-	b.do(news{TargetNews{ID: "x", From: other, Result: balance.OK, Body: "no"}})
-	require.Empty(t, b.answers)
+// A callback from a target other than that of the outstanding attempt must not end the flow. Otherwise the client would get
+// the result of an attempt that is no longer the flow's.
+func TestUpdateOfAnotherTargetIsIgnored(t *testing.T) {
+	h := newHarness(t, 2)
+	h.accept("x", "c")
+	other := map[string]string{"a": "b", "b": "a"}[h.started[0].Target]
+	h.apply(targetUpdateEvent{TargetNews{ID: "x", From: other, Result: balance.OK, Body: "no"}})
+	require.Empty(t, h.answers)
 }
 
-func TestOneAttemptOutAtATime(t *testing.T) {
-	b := newBench(t, 2)
-	for i := range 300 { // jobs are known to be short, so that silence is soon judged
-		b.take(fmt.Sprint(i), "c")
-		a := b.started[len(b.started)-1]
-		b.do(news{TargetNews{ID: a.ID, From: a.Target, Progress: &Progress{Started: true}}})
-		b.pass(10)
-		b.do(news{TargetNews{ID: a.ID, From: a.Target, Result: balance.OK}})
+func TestOneAttemptOutstandingAtATime(t *testing.T) {
+	h := newHarness(t, 2)
+	for i := range 300 { // the module learns that jobs are short, so it soon suspects a silent target
+		h.accept(fmt.Sprint(i), "c")
+		a := h.started[len(h.started)-1]
+		h.apply(targetUpdateEvent{TargetNews{ID: a.ID, From: a.Target, Progress: &Progress{Started: true}}})
+		h.advance(10)
+		h.apply(targetUpdateEvent{TargetNews{ID: a.ID, From: a.Target, Result: balance.OK}})
 	}
-	b.take("x", "c")
-	began := len(b.started)
-	for range 15 { // not started, and not a word from its target: the module withdraws it
-		b.pass(10)
+	h.accept("x", "c")
+	startedCount := len(h.started)
+	for range 15 { // no start report and no other callback from the target: the module cancels the attempt
+		h.advance(10)
 	}
-	require.Len(t, b.stopped, 1)
-	require.Len(t, b.started, began, "nothing follows until the target knows that it was given up")
-	b.do(ended{Outcome{Ref: b.started[began-1].Ref, Result: balance.Cancelled}})
-	b.pass(20)
-	require.Len(t, b.started, began+1)
+	require.Len(t, h.cancelled, 1)
+	require.Len(t, h.started, startedCount, "no further attempt before the cancellation is confirmed")
+	h.apply(outcomeEvent{Outcome{Ref: h.started[startedCount-1].Ref, Result: balance.Cancelled}})
+	h.advance(20)
+	require.Len(t, h.started, startedCount+1)
 }
 
-// What the rules forbid is not sent, whatever the module says.
-func TestForbiddenSendsEndAtOnce(t *testing.T) {
+// The core does not start an attempt that the rules forbid, even if the decision module requests it.
+func TestForbiddenDispatchesEndAtOnce(t *testing.T) {
 	if invariantsPanic() {
-		t.Skip("a debug build stops there")
+		t.Skip("a debug build panics on a broken invariant")
 	}
-	b := newBench(t, 2)
-	b.take("x", "c")
-	b.core.act(&balance.Action{Kind: balance.Send, Request: 1, Worker: "a"})
-	require.Len(t, b.started, 1)
-	require.Equal(t, map[string]int{"two-attempts-out": 1}, b.core.inv.Counts())
-	require.Equal(t, balance.NeverSent, b.core.steps[0].Result)
+	h := newHarness(t, 2)
+	h.accept("x", "c")
+	h.core.perform(&balance.Action{Kind: balance.Send, Request: 1, Worker: "a"})
+	require.Len(t, h.started, 1)
+	require.Equal(t, map[string]int{"two-attempts-out": 1}, h.core.invariants.Counts())
+	require.Equal(t, balance.NeverSent, h.core.pendingEvents[0].Result)
 }
 
-// A send whose time was over was never begun, so it is no reason to hold the flow back, nor to call it failed. Before, it
-// counted as served: a class that is unsafe to repeat was not sent any more, and at the end its client not told that to try
-// again is harmless.
-func TestASendThatNeverBeganHasNotRun(t *testing.T) {
-	b := newBench(t, 0)
-	b.core.classes["k"].Effect = balance.Unsafe
-	b.take("x", "k")
-	f := b.core.flows[1]
-	b.do(listed{"test", Group{Scope: balance.Changes, Targets: []Target{{Member: balance.Member{ID: "a", Zone: "a", Cell: "1"}}}}})
-	b.started, f.attempts, f.out = nil, nil, -1
-	b.clock.Advance(5001)
-	b.core.send(&balance.Action{Kind: balance.Send, Request: 1, Worker: "a"})
-	require.Empty(t, b.started, "its client's time is over")
+// An attempt that was not started because the deadline had passed has not run. It must not prevent further attempts, and the
+// flow must end as refused. When such an attempt counted as run, a flow of an unsafe class got no further attempt and ended
+// as failed, although a retry was harmless.
+func TestAttemptThatNeverStartedHasNotRun(t *testing.T) {
+	h := newHarness(t, 0)
+	h.core.classes["k"].Effect = balance.Unsafe
+	h.accept("x", "k")
+	f := h.core.flows[1]
+	h.apply(listEvent{"test", Group{Scope: balance.Changes, Targets: []Target{{Member: balance.Member{ID: "a", Zone: "a", Cell: "1"}}}}})
+	h.started, f.attempts, f.outstanding = nil, nil, -1
+	h.clock.Advance(5001)
+	h.core.dispatch(&balance.Action{Kind: balance.Send, Request: 1, Worker: "a"})
+	require.Empty(t, h.started, "the client's deadline has passed")
 	require.Len(t, f.attempts, 1)
-	require.False(t, b.core.mayHaveRun(&f.attempts[0]))
-	require.True(t, math.IsInf(b.core.latest(f, 1), 1))
-	b.core.steps = nil
-	finishAll{}.apply(b.core)
-	require.Equal(t, []Answer{{Kind: Refused, RetryAfter: 1000, Reason: ending}}, b.answers)
+	require.False(t, h.core.mayHaveRun(&f.attempts[0]))
+	require.True(t, math.IsInf(h.core.latestStart(f, 1), 1))
+	h.core.pendingEvents = nil
+	finishEvent{}.apply(h.core)
+	require.Equal(t, []Answer{{Kind: Refused, RetryAfter: 1000, Reason: shutdownReason}}, h.answers)
 }
 
 func invariantsPanic() (yes bool) {
@@ -156,185 +156,185 @@
 	return false
 }
 
-func TestRefusalIsAnsweredAtOnceAndSaysWhenToComeBack(t *testing.T) {
-	b := newBench(t, 1)
-	b.take("x", "k")
+func TestRefusalIsImmediateAndCarriesRetryAfter(t *testing.T) {
+	h := newHarness(t, 1)
+	h.accept("x", "k")
 	for range 3 {
-		b.do(ended{Outcome{Ref: b.started[len(b.started)-1].Ref, Result: balance.NoConnection}})
-		b.pass(10)
+		h.apply(outcomeEvent{Outcome{Ref: h.started[len(h.started)-1].Ref, Result: balance.NoConnection}})
+		h.advance(10)
 	}
-	require.Equal(t, []Answer{{Kind: Refused, RetryAfter: 1000, Reason: balance.AttemptsOver}}, b.answers)
+	require.Equal(t, []Answer{{Kind: Refused, RetryAfter: 1000, Reason: balance.AttemptsOver}}, h.answers)
 }
 
 func TestKeyedThatMayHaveRunIsNotRefused(t *testing.T) {
-	b := newBench(t, 2)
-	b.take("x", "k")
-	b.do(ended{Outcome{Ref: b.started[0].Ref, Result: balance.Reset}})
-	b.pass(10)
-	for _, a := range b.started {
-		require.Equal(t, b.started[0].Target, a.Target, "another pod")
+	h := newHarness(t, 2)
+	h.accept("x", "k")
+	h.apply(outcomeEvent{Outcome{Ref: h.started[0].Ref, Result: balance.Reset}})
+	h.advance(10)
+	for _, a := range h.started {
+		require.Equal(t, h.started[0].Target, a.Target, "sent to another cell")
 	}
-	b.pass(5000)
-	require.Len(t, b.answers, 1)
-	require.Equal(t, Failed, b.answers[0].Kind)
+	h.advance(5000)
+	require.Len(t, h.answers, 1)
+	require.Equal(t, Failed, h.answers[0].Kind)
 }
 
-func TestAttemptEndsWithItsClientsPatience(t *testing.T) {
-	b := newBench(t, 1)
-	b.take("x", "c")
-	b.do(news{TargetNews{ID: "x", From: "a", Progress: &Progress{Started: true}}})
-	b.pass(4995)
-	require.Len(t, b.answers, 1)
-	require.NotEqual(t, Served, b.answers[0].Kind)
-	b.pass(10)
-	require.Len(t, b.stopped, 1)
-	require.Empty(t, b.core.flows)
+func TestAttemptEndsWithClientTimeout(t *testing.T) {
+	h := newHarness(t, 1)
+	h.accept("x", "c")
+	h.apply(targetUpdateEvent{TargetNews{ID: "x", From: "a", Progress: &Progress{Started: true}}})
+	h.advance(4995)
+	require.Len(t, h.answers, 1)
+	require.NotEqual(t, Served, h.answers[0].Kind)
+	h.advance(10)
+	require.Len(t, h.cancelled, 1)
+	require.Empty(t, h.core.flows)
 }
 
 func TestAdmission(t *testing.T) {
-	b := newBench(t, 0)
+	h := newHarness(t, 0)
 	body, err := buffer.NewPool().FromBytes([]byte("x"))
 	require.NoError(t, err)
-	b.take("x", "c")
-	b.do(takeIn{&Request{ID: "x", Class: "c", Patience: 5000, From: b, Job: Job{Body: body}}, b.clock.Now()})
-	require.Equal(t, []Answer{{Kind: Failed, Reason: idInUse}}, b.answers, "the id is in use")
-	require.Zero(t, body.Len(), "its body was given back")
+	h.accept("x", "c")
+	h.apply(acceptEvent{&Request{ID: "x", Class: "c", Patience: 5000, From: h, Job: Job{Body: body}}, h.clock.Now()})
+	require.Equal(t, []Answer{{Kind: Failed, Reason: idInUse}}, h.answers, "the id is in use")
+	require.Zero(t, body.Len(), "its body was released")
 	for _, id := range []string{"2", "3", "4", "5", "6"} {
-		b.take(id, "c")
+		h.accept(id, "c")
 	}
-	require.Equal(t, Answer{Kind: Refused, RetryAfter: 1000, Reason: tooManyOpen}, b.answers[1], "too many are open")
-	b.take("7", "dance")
-	require.Len(t, b.answers, 3)
-	b.do(left{&Request{ID: "x", From: b}})
-	require.Equal(t, 1, b.core.books.Left)
-	require.Len(t, b.answers, 3, "who left gets no answer")
+	require.Equal(t, Answer{Kind: Refused, RetryAfter: 1000, Reason: tooManyOpen}, h.answers[1], "too many requests are open")
+	h.accept("7", "dance")
+	require.Len(t, h.answers, 3)
+	h.apply(clientLeftEvent{&Request{ID: "x", From: h}})
+	require.Equal(t, 1, h.core.stats.Left)
+	require.Len(t, h.answers, 3, "a client that left gets no response")
 }
 
-// A source that tells its whole list says nothing of the other source's targets.
+// A whole list from one source does not remove the targets of another source.
 func TestWholeListKeepsOtherSources(t *testing.T) {
-	b := newBench(t, 1)
-	b.core.sources["second"] = &source{Source: Source{Name: "second", Transport: b}, members: map[string]Target{}}
-	b.do(listed{"second", Group{Scope: balance.Changes, Targets: []Target{{Member: balance.Member{ID: "z", Zone: "a"}}}}})
-	b.do(listed{"test", Group{Scope: balance.Whole}})
-	b.take("x", "c")
-	require.Equal(t, "z", b.started[0].Target)
+	h := newHarness(t, 1)
+	h.core.sources["second"] = &source{Source: Source{Name: "second", Transport: h}, targets: map[string]Target{}}
+	h.apply(listEvent{"second", Group{Scope: balance.Changes, Targets: []Target{{Member: balance.Member{ID: "z", Zone: "a"}}}}})
+	h.apply(listEvent{"test", Group{Scope: balance.Whole}})
+	h.accept("x", "c")
+	require.Equal(t, "z", h.started[0].Target)
 }
 
-func TestRunEndsAndTellsWhenIdle(t *testing.T) {
-	b := newBench(t, 1)
+func TestRunReportsIdleAndEnds(t *testing.T) {
+	h := newHarness(t, 1)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	go func() { b.core.Run(ctx); close(done) }()
-	b.core.TakeIn(&Request{ID: "x", Class: "c", Patience: 5000, Slots: 1, From: b})
-	idle := b.core.Idle()
-	require.Equal(t, 1, b.core.Books().Open)
-	b.core.News(TargetNews{ID: "x", From: "a", Result: balance.OK})
+	go func() { h.core.Run(ctx); close(done) }()
+	h.core.TakeIn(&Request{ID: "x", Class: "c", Patience: 5000, Slots: 1, From: h})
+	idle := h.core.Idle()
+	require.Equal(t, 1, h.core.Books().Open)
+	h.core.News(TargetNews{ID: "x", From: "a", Result: balance.OK})
 	<-idle
 	cancel()
 	<-done
-	b.core.TakeIn(&Request{ID: "y"}) // nobody listens, and nothing blocks
+	h.core.TakeIn(&Request{ID: "y"}) // Run has returned, and the call does not block
 }
 
-// What one scheduler judges for all holds here, and what this one takes out of its draw is told.
-func TestVerdictsHoldAndDoubtsAreTold(t *testing.T) {
-	b := newBench(t, 2)
-	b.do(judged{"a", 1000})
+// A verdict of the examiner applies to this scheduler, and this scheduler's suspicions and probe results are reported.
+func TestVerdictsApplyAndSuspicionsAreReported(t *testing.T) {
+	h := newHarness(t, 2)
+	h.apply(verdictEvent{"a", 1000})
 	for i := range 20 {
-		b.take(fmt.Sprint(i), "c")
-		a := b.started[len(b.started)-1]
+		h.accept(fmt.Sprint(i), "c")
+		a := h.started[len(h.started)-1]
 		require.Equal(t, "b", a.Target)
-		b.do(news{TargetNews{ID: a.ID, From: "b", Result: balance.OK}})
+		h.apply(targetUpdateEvent{TargetNews{ID: a.ID, From: "b", Result: balance.OK}})
 	}
-	var told []string
-	b.core.cfg.Doubt = func(target string, failing bool) { told = append(told, fmt.Sprint(target, failing)) }
-	b.core.act(&balance.Action{Kind: balance.Doubt, Worker: "a", Failing: true})
-	require.Equal(t, []string{"atrue"}, told)
+	var suspected []string
+	h.core.cfg.Doubt = func(target string, failing bool) { suspected = append(suspected, fmt.Sprint(target, failing)) }
+	h.core.perform(&balance.Action{Kind: balance.Doubt, Worker: "a", Failing: true})
+	require.Equal(t, []string{"atrue"}, suspected)
 	var probed []string
-	b.core.cfg.Probed = func(target string, answered bool) { probed = append(probed, fmt.Sprint(target, answered)) }
-	b.do(probeOf("a", balance.OK))
-	b.do(probeOf("b", balance.TimedOut))
+	h.core.cfg.Probed = func(target string, answered bool) { probed = append(probed, fmt.Sprint(target, answered)) }
+	h.apply(probeOf("a", balance.OK))
+	h.apply(probeOf("b", balance.TimedOut))
 	require.Equal(t, []string{"atrue", "bfalse"}, probed)
 }
 
 func probeOf(target string, res balance.Result) event {
-	return probed{ProbeResult{Target: target, Result: res}}
+	return probeEvent{ProbeResult{Target: target, Result: res}}
 }
 
-// Tenants' requests are counted once: later tries, which come with less patience, are not.
-func TestFirstTriesAreCounted(t *testing.T) {
-	b := newBench(t, 1)
-	asked := map[string]int{}
-	b.core.cfg.Asked = func(tenant string) { asked[tenant]++ }
-	ask := func(id, class string, patience float64, first, repeat bool) {
-		b.do(takeIn{&Request{ID: id, Class: class, Tenant: "t", Patience: patience, Slots: 1, First: first, Repeat: repeat, From: b}, b.clock.Now()})
+// A tenant's request is counted once. Retries, recognized by a shorter client timeout, are not counted.
+func TestOnlyFirstTriesAreCounted(t *testing.T) {
+	h := newHarness(t, 1)
+	counts := map[string]int{}
+	h.core.cfg.Asked = func(tenant string) { counts[tenant]++ }
+	submit := func(id, class string, timeout float64, first, repeat bool) {
+		h.apply(acceptEvent{&Request{ID: id, Class: class, Tenant: "t", Patience: timeout, Slots: 1, First: first, Repeat: repeat, From: h}, h.clock.Now()})
 	}
-	ask("a", "c", 5000, false, false)
-	ask("b", "c", 4000, false, false)
-	ask("c", "c", 4999, false, false)
-	require.Equal(t, 2, asked["t"])
-	ask("d", "c", 3000, true, false)
-	ask("e", "c", 5000, false, true)
-	require.Equal(t, 3, asked["t"])
-	ask("f", "no such class", 9000, false, false)
-	require.Equal(t, 3, asked["t"])
-	require.NotContains(t, b.core.longest, "no such class", "what clients say does not fill tables")
+	submit("a", "c", 5000, false, false)
+	submit("b", "c", 4000, false, false)
+	submit("c", "c", 4999, false, false)
+	require.Equal(t, 2, counts["t"])
+	submit("d", "c", 3000, true, false)
+	submit("e", "c", 5000, false, true)
+	require.Equal(t, 3, counts["t"])
+	submit("f", "no such class", 9000, false, false)
+	require.Equal(t, 3, counts["t"])
+	require.NotContains(t, h.core.longestTimeout, "no such class", "unknown classes of clients use no memory")
 }
 
-// Rules that the schedulers agreed on go over the list, and lapse into their strict form at the core's own look
-// at the clock, whether or not anybody tells it.
-func TestRulesHoldUntilTheirTime(t *testing.T) {
-	b := newBench(t, 2)
-	drain := func(ids ...string) Rules {
+// The agreed rules take precedence over the list. They expire into the strict rules by the core's own clock, without a
+// notification.
+func TestRulesExpireIntoStrictRules(t *testing.T) {
+	h := newHarness(t, 2)
+	drainRules := func(ids ...string) Rules {
 		r := Rules{Cold: 1, Targets: map[string]bool{}, ComeBack: map[string]float64{"c": 70}}
 		for _, id := range ids {
 			r.Targets[id] = true
 		}
 		return r
 	}
-	to := func() (out []string) {
-		n := len(b.started)
-		b.take(fmt.Sprint("r", n), "c")
-		require.Len(t, b.started, n+1)
-		at := b.started[n]
-		b.do(news{TargetNews{ID: at.ID, From: at.Target, Result: balance.OK, Body: "x"}})
+	selectedTarget := func() (out []string) {
+		n := len(h.started)
+		h.accept(fmt.Sprint("r", n), "c")
+		require.Len(t, h.started, n+1)
+		at := h.started[n]
+		h.apply(targetUpdateEvent{TargetNews{ID: at.ID, From: at.Target, Result: balance.OK, Body: "x"}})
 		return []string{at.Target}
 	}
-	b.do(ruled{drain("a"), b.clock.Now() + 1000, drain("b")})
+	h.apply(rulesEvent{drainRules("a"), h.clock.Now() + 1000, drainRules("b")})
 	for range 5 {
-		require.Equal(t, []string{"b"}, to())
+		require.Equal(t, []string{"b"}, selectedTarget())
 	}
-	// Discovery's word of a drained target does not bring it back.
-	b.do(listed{"test", Group{Scope: balance.Changes, Targets: []Target{{Member: balance.Member{ID: "a", Zone: "a", Cell: "1"}}}}})
-	require.Equal(t, []string{"b"}, to())
-	b.clock.Advance(1001)
+	// A change from discovery that lists a drained target as ready does not end the drain.
+	h.apply(listEvent{"test", Group{Scope: balance.Changes, Targets: []Target{{Member: balance.Member{ID: "a", Zone: "a", Cell: "1"}}}}})
+	require.Equal(t, []string{"b"}, selectedTarget())
+	h.clock.Advance(1001)
 	for range 5 {
-		require.Equal(t, []string{"a"}, to(), "the strict form, from its time on")
+		require.Equal(t, []string{"a"}, selectedTarget(), "the strict rules are in force")
 	}
-	b.do(ruled{Rules{Cold: 1, Zones: map[string]bool{"a": true}, ComeBack: map[string]float64{"c": 70}}, b.clock.Now() + 1000, drain()})
-	n := len(b.started)
-	b.take("x", "c")
-	require.Len(t, b.started, n, "all of the zone is drained")
-	b.pass(1100)
-	require.Len(t, b.started, n+1, "and gets work again")
-	require.Equal(t, 70.0, b.core.comeBack(b.core.byID["x"].number))
-	require.Equal(t, 1000.0, b.core.comeBack(999))
+	h.apply(rulesEvent{Rules{Cold: 1, Zones: map[string]bool{"a": true}, ComeBack: map[string]float64{"c": 70}}, h.clock.Now() + 1000, drainRules()})
+	n := len(h.started)
+	h.accept("x", "c")
+	require.Len(t, h.started, n, "all targets of the zone are drained")
+	h.advance(1100)
+	require.Len(t, h.started, n+1, "the drain has ended")
+	require.Equal(t, 70.0, h.core.defaultRetryAfter(h.core.flowsByID["x"].number))
+	require.Equal(t, 1000.0, h.core.defaultRetryAfter(999))
 }
 
-// The program gives its last answers; a request that was read just before comes in after them. Nobody would be left to
-// answer it, so it is refused at once and goes nowhere.
+// At shutdown a request can arrive after Finish has ended the open flows. Nothing would end its flow later, so it is refused
+// at once and not dispatched.
 func TestWhatComesAfterTheLastAnswersIsRefused(t *testing.T) {
-	b := newBench(t, 1)
-	b.take("x", "k")
-	b.take("y", "c")
-	sent := len(b.started)
-	b.do(finishAll{})
-	require.Len(t, b.answers, 2)
-	require.Contains(t, b.answers, Answer{Kind: Failed, Reason: ending}, "it may have run")
-	b.take("z", "c")
-	require.Equal(t, Answer{Kind: Refused, RetryAfter: 1000, Reason: ending}, b.answers[2])
-	require.Len(t, b.started, sent)
-	b.do(ended{Outcome{Ref: b.started[0].Ref, Result: balance.Full}})
-	b.pass(6000)
-	require.Len(t, b.answers, 3, "one answer each")
-	require.Len(t, b.started, sent, "and nothing goes out any more")
+	h := newHarness(t, 1)
+	h.accept("x", "k")
+	h.accept("y", "c")
+	sent := len(h.started)
+	h.apply(finishEvent{})
+	require.Len(t, h.answers, 2)
+	require.Contains(t, h.answers, Answer{Kind: Failed, Reason: shutdownReason}, "it may have run")
+	h.accept("z", "c")
+	require.Equal(t, Answer{Kind: Refused, RetryAfter: 1000, Reason: shutdownReason}, h.answers[2])
+	require.Len(t, h.started, sent)
+	h.apply(outcomeEvent{Outcome{Ref: h.started[0].Ref, Result: balance.Full}})
+	h.advance(6000)
+	require.Len(t, h.answers, 3, "one final response each")
+	require.Len(t, h.started, sent, "no further attempt is started")
 }
--- a/internal/core/leases.go
+++ b/internal/core/leases.go
@@ -11,42 +11,42 @@
 	"cottonwell/internal/freshness"
 )
 
-// listLease is the core's side of the lease on the list of the source that is watched. The lease decides; here the module,
-// the transport and other schedulers are told.
+// listLease applies the lease on the list of the watched source. Package freshness decides which targets may be used. The
+// code here passes that on to the decision module, the transport and other schedulers.
 type listLease struct {
-	lease      *freshness.Lease // nil: lists are acted on for ever
-	peers      *freshness.Peers // nil where schedulers have no way to one another
-	leased     *source          // the source whose list it is
-	unreadable int              // datagrams about discovery's word that could not be read
-	wakeAt     float64          // when the next timer for the lease rings; in the past if none is set
-	lapsedAt   float64          // when it ran out, or the start; infinite while it is valid
+	lease              *freshness.Lease // nil: lists are used without limit
+	peers              *freshness.Peers // nil if schedulers exchange no messages
+	leasedSource       *source          // the source whose list is under the lease
+	unreadableMessages int              // datagrams about the list that could not be parsed
+	leaseTimerAt       float64          // when the next lease timer is due, in milliseconds; in the past if none is set
+	lapsedAt           float64          // when the lease expired, or the start, in milliseconds; infinite while it is valid
 }
 
-// The exchange with other schedulers about the word of discovery, in milliseconds.
+// Parameters of the exchange with other schedulers about confirmations of the list. They configure freshness.Peers.
 const (
-	askPeersEvery  = 250.0
-	askPeersMany   = 3
-	askPeersAt     = 1000.0 // without a watch
-	askPeersSilent = 2600.0 // with one: a sign of life comes every 2 s
-	wordYounger    = 200.0
-	keepQuestion   = 1500.0
+	peerQueryIntervalMS = 250.0
+	peersPerQuery       = 3
+	queryAgeUnwatchedMS = 1000.0 // while no watch is open
+	queryAgeWatchedMS   = 2600.0 // while a watch is open: it receives a heartbeat every 2 s
+	minAgeGainMS        = 200.0
+	keepQueryMS         = 1500.0
 )
 
-var errNothingWatched = errors.New("a lease on a list that no source is asked for")
+var errNoWatchedSource = errors.New("list lease configured, but no source has a watch")
 
-// startLease sets the lease up for the source that is watched.
+// startLease creates the lease for the watched source.
 func (c *Core) startLease() (err error) {
 	if c.cfg.ListLease <= 0 {
-		close(c.fresh)
+		close(c.listReady)
 		return nil
 	}
 	for _, s := range c.sources {
 		if s.Watch != nil {
-			c.leased = s
+			c.leasedSource = s
 		}
 	}
-	if c.leased == nil {
-		return errNothingWatched
+	if c.leasedSource == nil {
+		return errNoWatchedSource
 	}
 	now, settings := c.clock.Now(), &c.cfg.Settings
 	c.lapsedAt = now
@@ -56,18 +56,18 @@
 	if c.cfg.Tell == nil || !settings.Peers || settings.Fleet < 2 {
 		return nil
 	}
-	c.peers, err = freshness.NewPeers(now, freshness.PeersConfig{Self: settings.Self, Fleet: settings.Fleet, Seed: c.cfg.Seed, AskEvery: askPeersEvery,
-		AskAt: askPeersAt, SilentAt: askPeersSilent, AskMany: askPeersMany, Younger: wordYounger, KeepFor: keepQuestion}, c.lease)
+	c.peers, err = freshness.NewPeers(now, freshness.PeersConfig{Self: settings.Self, Fleet: settings.Fleet, Seed: c.cfg.Seed, AskEvery: peerQueryIntervalMS,
+		AskAt: queryAgeUnwatchedMS, SilentAt: queryAgeWatchedMS, AskMany: peersPerQuery, Younger: minAgeGainMS, KeepFor: keepQueryMS}, c.lease)
 	return err
 }
 
-// listHeard tells the lease of a list, or of changes to it, that the source's members show by now.
-func (c *Core) listHeard(s *source, g *Group) (changed bool) {
-	if c.lease == nil || s != c.leased {
+// updateLeaseList passes the source's current targets to the lease after a list, or changes to it, were applied to them.
+func (c *Core) updateLeaseList(s *source, g *Group) (changed bool) {
+	if c.lease == nil || s != c.leasedSource {
 		return false
 	}
-	serving := make([]freshness.Target, 0, len(s.members))
-	for id, t := range s.members {
+	serving := make([]freshness.Target, 0, len(s.targets))
+	for id, t := range s.targets {
 		if t.State == balance.Ready {
 			serving = append(serving, freshness.Target{Name: id, StartedMS: t.StartedMS})
 		}
@@ -79,46 +79,46 @@
 	return c.lease.Listed(now, g.ReadAt, serving)
 }
 
-// SignOfLife tells that a source gave one on its open watch, and when it was read.
-func (c *Core) SignOfLife(from string, readAt float64) { c.post(signOfLife{from, readAt}) }
+// SignOfLife reports a heartbeat on the open watch of a source, and when it was read.
+func (c *Core) SignOfLife(from string, readAt float64) { c.post(heartbeatEvent{from, readAt}) }
 
-type signOfLife struct {
-	from   string
+type heartbeatEvent struct {
+	source string
 	readAt float64
 }
 
-func (e signOfLife) apply(c *Core) {
-	c.books.SignsOfLife++
-	c.trace.word("a sign of life", c.clock.Now()-e.readAt)
-	if s := c.sources[e.from]; s != nil && c.lease != nil && s == c.leased {
-		c.leaseReviewed(s, c.lease.SignOfLife(c.clock.Now(), e.readAt))
+func (e heartbeatEvent) apply(c *Core) {
+	c.stats.SignsOfLife++
+	c.trace.leaseConfirmed("heartbeat", c.clock.Now()-e.readAt)
+	if s := c.sources[e.source]; s != nil && c.lease != nil && s == c.leasedSource {
+		c.afterLeaseEvent(s, c.lease.SignOfLife(c.clock.Now(), e.readAt))
 	}
 }
 
-// Moved tells that a source is asked at another address from now on.
-func (c *Core) Moved(from string) { c.post(moved{from}) }
+// Moved reports that a source is polled at another address from now on.
+func (c *Core) Moved(from string) { c.post(discoveryMovedEvent{from}) }
 
-type moved struct{ from string }
+type discoveryMovedEvent struct{ source string }
 
-func (e moved) apply(c *Core) {
-	s := c.sources[e.from]
-	if s == nil || c.lease == nil || s != c.leased || c.cfg.MovedLease <= 0 {
+func (e discoveryMovedEvent) apply(c *Core) {
+	s := c.sources[e.source]
+	if s == nil || c.lease == nil || s != c.leasedSource || c.cfg.MovedLease <= 0 {
 		return
 	}
 	now := c.clock.Now()
-	c.leaseReviewed(s, c.lease.EndBy(now, now+c.cfg.MovedLease))
+	c.afterLeaseEvent(s, c.lease.EndBy(now, now+c.cfg.MovedLease))
 }
 
-// listLost tells the lease that a call failed or a watch ended.
-func (c *Core) listLost(s *source) {
-	if c.lease != nil && s == c.leased {
-		c.leaseReviewed(s, c.lease.WatchLost(c.clock.Now()))
+// watchLost notifies the lease that a request to the source failed or that its watch ended.
+func (c *Core) watchLost(s *source) {
+	if c.lease != nil && s == c.leasedSource {
+		c.afterLeaseEvent(s, c.lease.WatchLost(c.clock.Now()))
 	}
 }
 
-// probeHeard tells the lease what came of a probe.
-func (c *Core) probeHeard(r ProbeResult) {
-	if c.lease == nil || c.targets[r.Target] != c.leased {
+// updateLeaseProbe passes the result of a probe to the lease.
+func (c *Core) updateLeaseProbe(r ProbeResult) {
+	if c.lease == nil || c.sourceByTarget[r.Target] != c.leasedSource {
 		return
 	}
 	answer := freshness.Silent
@@ -128,98 +128,98 @@
 	case r.Result == balance.OK:
 		answer = freshness.Serving
 	}
-	c.leaseReviewed(c.leased, c.lease.Probed(c.clock.Now(), r.Target, answer))
+	c.afterLeaseEvent(c.leasedSource, c.lease.Probed(c.clock.Now(), r.Target, answer))
 }
 
-// wordHeard takes in what another scheduler asks or says of discovery's word.
-func (c *Core) wordHeard(who int, raw string) {
+// receiveListMessage handles a query or a response of another scheduler about the confirmation of the list.
+func (c *Core) receiveListMessage(sender int, raw string) {
 	if c.peers == nil {
-		c.unreadable++
+		c.unreadableMessages++
 		return
 	}
-	out, changed, err := c.peers.Heard(c.clock.Now(), who, raw)
+	out, changed, err := c.peers.Heard(c.clock.Now(), sender, raw)
 	if err != nil {
-		c.unreadable++
+		c.unreadableMessages++
 		return
 	}
-	c.sendWords(out)
+	c.sendListMessages(out)
 	if changed {
-		c.books.WordsPassedOn++
-		c.trace.word("another scheduler", c.lease.Age(c.clock.Now()))
-		c.step(balance.Event{Kind: balance.Answered})
+		c.stats.WordsPassedOn++
+		c.trace.leaseConfirmed("another scheduler", c.lease.Age(c.clock.Now()))
+		c.enqueue(balance.Event{Kind: balance.Answered})
 	}
-	c.leaseReviewed(c.leased, changed)
+	c.afterLeaseEvent(c.leasedSource, changed)
 }
 
-func (c *Core) sendWords(out []freshness.Message) {
+func (c *Core) sendListMessages(out []freshness.Message) {
 	for _, m := range out {
-		c.books.WordsTold += len(m.To)
+		c.stats.WordsTold += len(m.To)
 		c.cfg.Tell(m.To, m.Raw)
 	}
 }
 
-func (c *Core) leaseDue() {
-	c.wakeAt = math.Inf(-1)
-	c.leaseReviewed(c.leased, c.lease.Review(c.clock.Now()))
+func (c *Core) leaseTimerDue() {
+	c.leaseTimerAt = math.Inf(-1)
+	c.afterLeaseEvent(c.leasedSource, c.lease.Review(c.clock.Now()))
 }
 
-// leaseReviewed does what follows of an event on the lease of a source: it tells who may be sent to if that has changed, asks and
-// answers other schedulers, and asks to be woken for what comes next.
-func (c *Core) leaseReviewed(s *source, changed bool) {
-	if c.lease == nil || s != c.leased {
+// afterLeaseEvent completes an event of the lease. If the withheld targets changed, it publishes them. It sends the due
+// queries and responses to other schedulers, and sets the timer for the next review.
+func (c *Core) afterLeaseEvent(s *source, changed bool) {
+	if c.lease == nil || s != c.leasedSource {
 		return
 	}
 	if changed {
-		c.tellWithheld()
+		c.publishWithheld()
 	}
-	c.noteLapse()
+	c.recordLapse()
 	now := c.clock.Now()
 	at := c.lease.Next(now)
 	if c.peers != nil {
-		c.sendWords(c.peers.Renewed(now))
-		c.sendWords(c.peers.Due(now))
+		c.sendListMessages(c.peers.Renewed(now))
+		c.sendListMessages(c.peers.Due(now))
 		at = min(at, c.peers.Next(now))
 	}
-	if waiting := c.wakeAt > now; !math.IsInf(at, 1) && (!waiting || at < c.wakeAt) {
-		c.wakeAt = at
-		c.timers.add(timer{at: at, what: leaseTimer})
+	if waiting := c.leaseTimerAt > now; !math.IsInf(at, 1) && (!waiting || at < c.leaseTimerAt) {
+		c.leaseTimerAt = at
+		c.timers.add(timer{at: at, kind: leaseTimer})
 	}
 }
 
-// noteLapse counts and logs that the lease ran out, or was renewed after that.
-func (c *Core) noteLapse() {
+// recordLapse counts and logs that the lease expired, or that it was renewed after an expiry.
+func (c *Core) recordLapse() {
 	switch lapsed := c.lease.Lapsed(); {
 	case !lapsed && !math.IsInf(c.lapsedAt, 1):
 		after := c.clock.Now() - c.lapsedAt
-		c.books.LapsedFor += after
+		c.stats.LapsedFor += after
 		c.lapsedAt = math.Inf(1)
-		if c.books.Lapses == 0 {
-			close(c.fresh)
+		if c.stats.Lapses == 0 {
+			close(c.listReady)
 		}
 		c.log.Info("lease on the list renewed", "lapsed_ms", after, "watching", c.lease.Watching())
 	case lapsed && math.IsInf(c.lapsedAt, 1):
-		c.books.Lapses++
+		c.stats.Lapses++
 		c.lapsedAt = c.clock.Now()
-		c.log.Warn("lease on the list ran out, nothing is sent until discovery answers", "withheld", c.withholds())
+		c.log.Warn("lease on the list ran out, no attempt is started until discovery responds", "withheld", c.withheldCount())
 	}
 }
 
-// tellWithheld tells the module and the transport which targets may be sent to.
-func (c *Core) tellWithheld() {
-	c.tellOf(c.leased, slices.Collect(maps.Values(c.leased.members))...)
+// publishWithheld passes the usable state of all targets under the lease to the decision module and the transport.
+func (c *Core) publishWithheld() {
+	c.publishTargets(c.leasedSource, slices.Collect(maps.Values(c.leasedSource.targets))...)
 }
 
-// withheld says whether the lease keeps a target from being sent to.
+// withheld reports whether the lease forbids attempts at a target.
 func (c *Core) withheld(target string) bool {
-	return c.lease != nil && c.targets[target] == c.leased && c.lease.Withheld(target)
+	return c.lease != nil && c.sourceByTarget[target] == c.leasedSource && c.lease.Withheld(target)
 }
 
-// withholds is how many targets serve by the list and are withheld.
-func (c *Core) withholds() (n int) {
+// withheldCount returns the number of targets that are listed as ready and withheld.
+func (c *Core) withheldCount() (n int) {
 	if c.lease == nil {
 		return 0
 	}
-	for id, t := range c.leased.members {
+	for id, t := range c.leasedSource.targets {
 		if t.State == balance.Ready && c.lease.Withheld(id) {
 			n++
 		}
@@ -227,13 +227,13 @@
 	return n
 }
 
-// maySendUntil is until when an attempt may leave for a target of a source. It is looked at again as the first byte goes,
-// as a connection may be long in coming up, and a process may stand still.
+// maySendUntil returns the time by which an attempt at a target of a source must be sent, in milliseconds. The transport
+// checks it again before the first byte, since a connection may take long to establish and the process may be paused.
 func (c *Core) maySendUntil(s *source, target string) float64 {
 	switch {
 	case c.offline[target]:
 		return math.Inf(-1)
-	case c.lease == nil || s == nil || s != c.leased:
+	case c.lease == nil || s == nil || s != c.leasedSource:
 		return math.Inf(1)
 	}
 	return c.lease.MaySendUntil(target)
--- a/internal/core/leases_test.go
+++ b/internal/core/leases_test.go
@@ -9,205 +9,207 @@
 	"cottonwell/internal/freshness"
 )
 
-const listLasts = 5700.0
+const listLeaseMS = 5700.0
 
-// leased is a bench whose source is watched, with a lease on the list of its targets a, b, ...
-func leased(t *testing.T, targets int) *bench {
-	b := newBench(t, targets)
-	for _, s := range b.core.sources {
+// newLeasedHarness returns a harness with a watched source and a lease on its list of the targets a, b and so on.
+func newLeasedHarness(t *testing.T, targets int) *harness {
+	h := newHarness(t, targets)
+	for _, s := range h.core.sources {
 		s.Watch = func() {}
 	}
-	b.core.cfg.ListLease, b.core.fresh = listLasts, make(chan struct{})
-	require.NoError(t, b.core.startLease())
-	b.core.leaseReviewed(b.core.leased, b.core.listHeard(b.core.leased, &Group{Scope: balance.FromDisk}))
-	b.core.route()
-	return b
+	h.core.cfg.ListLease, h.core.listReady = listLeaseMS, make(chan struct{})
+	require.NoError(t, h.core.startLease())
+	h.core.afterLeaseEvent(h.core.leasedSource, h.core.updateLeaseList(h.core.leasedSource, &Group{Scope: balance.FromDisk}))
+	h.core.route()
+	return h
 }
 
-// hear tells of changes, none, that were just read.
-func (b *bench) hear() {
-	b.do(listed{"test", Group{Scope: balance.Changes, ReadAt: b.clock.Now()}})
+// receiveChanges applies an empty set of changes from the source, read now. It renews the lease.
+func (h *harness) receiveChanges() {
+	h.apply(listEvent{"test", Group{Scope: balance.Changes, ReadAt: h.clock.Now()}})
 }
 
-func (b *bench) lose() { b.do(listed{"test", Group{Scope: balance.AskFailed}}) }
+func (h *harness) loseWatch() { h.apply(listEvent{"test", Group{Scope: balance.AskFailed}}) }
 
-func (b *bench) serve(id string) {
-	last := b.started[len(b.started)-1]
-	b.do(news{TargetNews{ID: id, From: last.Target, Result: balance.OK}})
+func (h *harness) serve(id string) {
+	last := h.started[len(h.started)-1]
+	h.apply(targetUpdateEvent{TargetNews{ID: id, From: last.Target, Result: balance.OK}})
 }
 
-// lapses lets the lease run out that was just renewed: a request is served just before, and one waits just after.
-func (b *bench) lapses() {
-	b.t.Helper()
-	b.pass(listLasts - 1)
-	b.take("x", "c")
-	require.Len(b.t, b.started, 1)
-	b.serve("x")
-	b.pass(2)
-	b.take("y", "c")
-	require.Len(b.t, b.started, 1, "it waits")
+// expireLease lets a lease expire that was just renewed. A request is served 1 ms before the end, and another one is queued
+// 1 ms after it.
+func (h *harness) expireLease() {
+	h.t.Helper()
+	h.advance(listLeaseMS - 1)
+	h.accept("x", "c")
+	require.Len(h.t, h.started, 1)
+	h.serve("x")
+	h.advance(2)
+	h.accept("y", "c")
+	require.Len(h.t, h.started, 1, "the request is queued")
 }
 
-// Before discovery's first word nothing goes out, however short the time since the start.
-func TestNothingGoesOutBeforeTheFirstList(t *testing.T) {
-	b := leased(t, 2)
-	b.take("x", "c")
-	require.Empty(t, b.started, "it waits")
-	b.do(probed{ProbeResult{Target: "b", SentAt: b.clock.Now(), Result: balance.OK}})
-	require.Empty(t, b.started, "a target's own word says nothing of the list")
+// No attempt is started before discovery has confirmed the list for the first time, even right after the start.
+func TestNothingIsSentBeforeTheFirstList(t *testing.T) {
+	h := newLeasedHarness(t, 2)
+	h.accept("x", "c")
+	require.Empty(t, h.started, "the request is queued")
+	h.apply(probeEvent{ProbeResult{Target: "b", SentAt: h.clock.Now(), Result: balance.OK}})
+	require.Empty(t, h.started, "a probe does not confirm the list")
 	select {
-	case <-b.core.Fresh():
-		require.Fail(t, "clients are let in")
+	case <-h.core.Fresh():
+		require.Fail(t, "ready for clients before the first list")
 	default:
 	}
-	b.hear()
-	require.Len(t, b.started, 1)
-	<-b.core.Fresh()
+	h.receiveChanges()
+	require.Len(t, h.started, 1)
+	<-h.core.Fresh()
 }
 
-// Nothing goes out once the lease on the list has run out, and what waits goes out as it is renewed. What the module knows
-// of the targets outlives that.
+// No attempt is started after the lease has expired. Queued requests are dispatched once it is renewed. The decision module
+// keeps its state of the targets meanwhile.
 func TestNothingGoesOutWithoutALease(t *testing.T) {
-	b := leased(t, 2)
-	b.hear()
-	b.lose()
-	b.lapses()
-	require.Equal(t, 2, b.core.withholds())
-	require.Equal(t, 1, b.core.books.Lapses)
-	b.do(probed{ProbeResult{Target: "b", SentAt: b.clock.Now(), Result: balance.OK}})
-	require.Len(t, b.started, 1)
-	b.pass(9)
-	b.hear()
-	require.Len(t, b.started, 2)
-	require.Zero(t, b.core.withholds())
-	require.Equal(t, 9.0, b.core.books.LapsedFor, "from when it was noticed")
+	h := newLeasedHarness(t, 2)
+	h.receiveChanges()
+	h.loseWatch()
+	h.expireLease()
+	require.Equal(t, 2, h.core.withheldCount())
+	require.Equal(t, 1, h.core.stats.Lapses)
+	h.apply(probeEvent{ProbeResult{Target: "b", SentAt: h.clock.Now(), Result: balance.OK}})
+	require.Len(t, h.started, 1)
+	h.advance(9)
+	h.receiveChanges()
+	require.Len(t, h.started, 2)
+	require.Zero(t, h.core.withheldCount())
+	require.Equal(t, 9.0, h.core.stats.LapsedFor, "counted from the detection of the expiry")
 }
 
-// A request that can't be served in time while the lease has run out is refused, and counted so.
+// A request that reaches its deadline while the lease is expired is refused, and counted as such a refusal.
 func TestRefusalsWithoutALeaseAreCounted(t *testing.T) {
-	b := leased(t, 1)
-	b.take("x", "c")
-	b.pass(60_000)
-	require.Equal(t, 1, b.core.books.Refused)
-	require.Equal(t, 1, b.core.books.RefusedLapsed)
+	h := newLeasedHarness(t, 1)
+	h.accept("x", "c")
+	h.advance(60_000)
+	require.Equal(t, 1, h.core.stats.Refused)
+	require.Equal(t, 1, h.core.stats.RefusedLapsed)
 }
 
-// An open watch renews the lease by its signs of life, and by nothing else: one that is silent is as good as none.
+// Only heartbeats and lists renew the lease on an open watch. A silent watch lets it expire.
 func TestSilentWatchLetsTheLeaseRunOut(t *testing.T) {
-	b := leased(t, 1)
-	b.hear()
-	b.pass(2000)
-	b.do(signOfLife{"test", b.clock.Now()})
-	b.lapses()
-	b.do(signOfLife{"test", b.clock.Now()})
-	require.Len(t, b.started, 2)
+	h := newLeasedHarness(t, 1)
+	h.receiveChanges()
+	h.advance(2000)
+	h.apply(heartbeatEvent{"test", h.clock.Now()})
+	h.expireLease()
+	h.apply(heartbeatEvent{"test", h.clock.Now()})
+	require.Len(t, h.started, 2)
 }
 
-// An attempt is told until when it may leave, as its connection may be long in coming up; the class's own bound stays.
-func TestAttemptsEndWithTheirLease(t *testing.T) {
-	b := leased(t, 1)
-	b.hear()
-	heardAt := b.clock.Now()
-	b.pass(100)
-	b.take("open", "c")
-	require.Equal(t, heardAt+listLasts, b.started[0].Latest)
+// An attempt carries the time by which it must be sent, since its connection may take long to establish. The limit of its
+// class still applies.
+func TestAttemptStartIsBoundedByLease(t *testing.T) {
+	h := newLeasedHarness(t, 1)
+	h.receiveChanges()
+	heardAt := h.clock.Now()
+	h.advance(100)
+	h.accept("open", "c")
+	require.Equal(t, heardAt+listLeaseMS, h.started[0].Latest)
 }
 
-// A process that stands still between two steps sends nothing by a lease that ran out meanwhile: it is looked at again as
-// the attempt begins, before any timer has rung.
-func TestLeaseIsLookedAtAsTheAttemptBegins(t *testing.T) {
-	b := leased(t, 1)
-	b.hear()
-	b.clock.Advance(listLasts + 1)
-	b.take("x", "c")
-	require.Empty(t, b.started)
+// If the process is paused and the lease expires meanwhile, no attempt is started. The lease is checked at the start of each
+// attempt, before any timer fires.
+func TestLeaseIsCheckedAtAttemptStart(t *testing.T) {
+	h := newLeasedHarness(t, 1)
+	h.receiveChanges()
+	h.clock.Advance(listLeaseMS + 1)
+	h.accept("x", "c")
+	require.Empty(t, h.started)
 }
 
-// A target that answers a probe as not ready gets nothing while discovery is silent, though the lease runs on. While the
-// watch is open the list decides.
+// A target that reports not ready in a probe gets no attempts while no watch is open, even if the lease is valid. While the
+// watch is open, the list decides.
 func TestTargetThatIsNotReady(t *testing.T) {
-	b := leased(t, 2)
-	b.hear()
-	notReady := ProbeResult{Target: "a", SentAt: b.clock.Now(), Result: balance.Failed, NotReady: true}
-	b.do(probed{notReady})
-	require.Zero(t, b.core.withholds())
-	b.lose()
-	require.Zero(t, b.core.withholds(), "the list was right when it was asked")
-	b.do(probed{notReady})
-	require.Equal(t, 1, b.core.withholds())
+	h := newLeasedHarness(t, 2)
+	h.receiveChanges()
+	notReady := ProbeResult{Target: "a", SentAt: h.clock.Now(), Result: balance.Failed, NotReady: true}
+	h.apply(probeEvent{notReady})
+	require.Zero(t, h.core.withheldCount())
+	h.loseWatch()
+	require.Zero(t, h.core.withheldCount(), "the probe ended while the watch was open")
+	h.apply(probeEvent{notReady})
+	require.Equal(t, 1, h.core.withheldCount())
 	for range 5 {
-		b.take(string(rune('k'+len(b.started))), "c")
-		require.Equal(t, "b", b.started[len(b.started)-1].Target)
-		b.serve(b.started[len(b.started)-1].ID)
+		h.accept(string(rune('k'+len(h.started))), "c")
+		require.Equal(t, "b", h.started[len(h.started)-1].Target)
+		h.serve(h.started[len(h.started)-1].ID)
 	}
-	require.Len(t, b.started, 5)
+	require.Len(t, h.started, 5)
 }
 
-// Where the settings bound how long the old address's list counts after a move, nothing goes out after that until the new
-// one is heard.
-func TestLeaseAfterAMove(t *testing.T) {
-	b := leased(t, 1)
-	b.core.cfg.MovedLease = 3700
-	b.hear()
-	b.do(moved{"test"})
-	b.pass(3699)
-	b.take("x", "c")
-	require.Len(t, b.started, 1)
-	b.serve("x")
-	b.pass(2)
-	b.take("y", "c")
-	require.Len(t, b.started, 1)
-	b.hear()
-	require.Len(t, b.started, 2)
+// If MovedLease is set, no attempt is started after it has expired, until the new discovery address confirms the list.
+func TestLeaseAfterDiscoveryAddressChange(t *testing.T) {
+	h := newLeasedHarness(t, 1)
+	h.core.cfg.MovedLease = 3700
+	h.receiveChanges()
+	h.apply(discoveryMovedEvent{"test"})
+	h.advance(3699)
+	h.accept("x", "c")
+	require.Len(t, h.started, 1)
+	h.serve("x")
+	h.advance(2)
+	h.accept("y", "c")
+	require.Len(t, h.started, 1)
+	h.receiveChanges()
+	require.Len(t, h.started, 2)
 }
 
-// A scheduler that discovery does not answer serves by the word that another one passes on, and calls discovery soon.
-func TestServesByAWordThatWasPassedOn(t *testing.T) {
-	b := leased(t, 2)
-	var told []string
-	b.core.cfg.Tell = func(to []int, raw string) {
+// A scheduler that gets no response from discovery uses the confirmation that another scheduler forwards, and polls
+// discovery soon.
+func TestServesOnForwardedConfirmation(t *testing.T) {
+	h := newLeasedHarness(t, 2)
+	var sent []string
+	h.core.cfg.Tell = func(to []int, raw string) {
 		require.Equal(t, []int{1}, to)
-		told = append(told, raw)
+		sent = append(sent, raw)
 	}
-	b.core.cfg.Settings.Peers, b.core.cfg.Settings.Fleet, b.core.fresh = true, 2, make(chan struct{})
-	require.NoError(t, b.core.startLease())
-	b.do(listed{"test", Group{Scope: balance.FromDisk, Targets: []Target{b.core.leased.members["a"], b.core.leased.members["b"]}}})
-	b.take("x", "c")
-	b.pass(200)
-	require.Len(t, told, 1)
-	other, err := freshness.NewLease(listLasts, listLasts)
+	h.core.cfg.Settings.Peers, h.core.cfg.Settings.Fleet, h.core.listReady = true, 2, make(chan struct{})
+	require.NoError(t, h.core.startLease())
+	h.apply(listEvent{"test", Group{Scope: balance.FromDisk, Targets: []Target{h.core.leasedSource.targets["a"], h.core.leasedSource.targets["b"]}}})
+	h.accept("x", "c")
+	h.advance(200)
+	require.Len(t, sent, 1)
+	other, err := freshness.NewLease(listLeaseMS, listLeaseMS)
 	require.NoError(t, err)
 	other.Listed(7000, 7000, []freshness.Target{{Name: "b"}})
 	peers, err := freshness.NewPeers(7000, freshness.PeersConfig{Self: 1, Fleet: 2, AskEvery: 1, AskMany: 1, Younger: 1}, other)
 	require.NoError(t, err)
-	answers, _, err := peers.Heard(7100, 0, told[0])
+	answers, _, err := peers.Heard(7100, 0, sent[0])
 	require.NoError(t, err)
 	require.Len(t, answers, 1)
-	b.do(heard{1, answers[0].Raw})
-	require.Len(t, b.started, 1)
-	require.Equal(t, "b", b.started[0].Target)
-	require.Equal(t, 1, b.core.withholds(), "the other one has left the list")
-	require.Equal(t, 1, b.core.books.WordsPassedOn)
-	b.do(heard{1, answers[0].Raw[:9]})
-	require.Equal(t, 1, b.core.unreadable)
+	h.apply(peerMessageEvent{1, answers[0].Raw})
+	require.Len(t, h.started, 1)
+	require.Equal(t, "b", h.started[0].Target)
+	require.Equal(t, 1, h.core.withheldCount(), "the other target has left the list")
+	require.Equal(t, 1, h.core.stats.WordsPassedOn)
+	h.apply(peerMessageEvent{1, answers[0].Raw[:9]})
+	require.Equal(t, 1, h.core.unreadableMessages)
 }
 
-// Without a watch the list is acted on for a shorter time, where the settings say so: nothing more goes out as the watch ends
-// that had fallen silent before.
-func TestLeaseEndsWithTheWatch(t *testing.T) {
-	b := leased(t, 1)
-	b.core.cfg.UnwatchedLease, b.core.fresh = 2700, make(chan struct{})
-	require.NoError(t, b.core.startLease())
-	b.core.leaseReviewed(b.core.leased, b.core.listHeard(b.core.leased, &Group{Scope: balance.FromDisk}))
-	b.hear()
-	b.pass(2800)
-	b.take("x", "c")
-	require.Len(t, b.started, 1)
-	b.serve("x")
-	b.lose()
-	require.Equal(t, 1, b.core.withholds())
-	b.take("y", "c")
-	require.Len(t, b.started, 1, "it waits")
-	b.hear()
-	require.Len(t, b.started, 2)
+// UnwatchedLease shortens the lease while no watch is open. If a watch was silent for longer than that, no attempt is started
+// after it ends.
+func TestLeaseIsShorterWithoutWatch(t *testing.T) {
+	h := newLeasedHarness(t, 1)
+	h.core.cfg.UnwatchedLease, h.core.listReady = 2700, make(chan struct{})
+	require.NoError(t, h.core.startLease())
+	h.core.afterLeaseEvent(h.core.leasedSource, h.core.updateLeaseList(h.core.leasedSource, &Group{Scope: balance.FromDisk}))
+	h.receiveChanges()
+	h.advance(2800)
+	h.accept("x", "c")
+	require.Len(t, h.started, 1)
+	h.serve("x")
+	h.loseWatch()
+	require.Equal(t, 1, h.core.withheldCount())
+	h.accept("y", "c")
+	require.Len(t, h.started, 1, "the request is queued")
+	h.receiveChanges()
+	require.Len(t, h.started, 2)
 }
--- a/internal/core/maintenance.go
+++ b/internal/core/maintenance.go
@@ -7,25 +7,27 @@
 	"cottonwell/balance"
 )
 
-// Offline has nothing more sent to a target, whatever its source lists, until Online. It says whether there is a target of
-// that name. Once it has returned no attempt leaves for it any more.
+// Offline stops new attempts at a target until Online is called, whatever its source lists. It reports whether a target of
+// that name is known. No attempt at the target is sent after Offline has returned.
 func (c *Core) Offline(target string) bool {
-	return c.maintain(maintained{target: target, offline: true})
+	return c.setMaintenance(maintenanceEvent{target: target, offline: true})
 }
 
-// Online ends what Offline began. It says whether there is a target of that name, listed or offline.
-func (c *Core) Online(target string) bool { return c.maintain(maintained{target: target}) }
+// Online undoes Offline. It reports whether a target of that name is listed or offline.
+func (c *Core) Online(target string) bool { return c.setMaintenance(maintenanceEvent{target: target}) }
 
-// Inherit is Offline by the word of another process of this scheduler, which had that target listed.
+// Inherit applies the Offline of another process of this scheduler. That process had the target listed, so this one need
+// not know it.
 func (c *Core) Inherit(target string) {
-	c.maintain(maintained{target: target, offline: true, inherited: true})
+	c.setMaintenance(maintenanceEvent{target: target, offline: true, inherited: true})
 }
 
-func (c *Core) maintain(e maintained) bool {
-	e.known = make(chan bool, 1)
+// setMaintenance posts the event and returns its reply: whether the target is known. It returns false if Run has returned.
+func (c *Core) setMaintenance(e maintenanceEvent) bool {
+	e.reply = make(chan bool, 1)
 	c.post(e)
 	select {
-	case known := <-e.known:
+	case known := <-e.reply:
 		return known
 	case <-c.done:
 		return false
@@ -35,7 +37,7 @@
 // Maintained returns the targets that are offline.
 func (c *Core) Maintained() []string {
 	targets := make(chan []string, 1)
-	c.post(readMaintained{targets})
+	c.post(maintainedQuery{targets})
 	select {
 	case t := <-targets:
 		return t
@@ -44,49 +46,49 @@
 	}
 }
 
-type readMaintained struct{ targets chan []string }
+type maintainedQuery struct{ reply chan []string }
 
-func (e readMaintained) apply(c *Core) { e.targets <- slices.Sorted(maps.Keys(c.offline)) }
+func (e maintainedQuery) apply(c *Core) { e.reply <- slices.Sorted(maps.Keys(c.offline)) }
 
-type maintained struct {
+type maintenanceEvent struct {
 	target    string
 	offline   bool
-	inherited bool // it need not be known here
-	known     chan bool
+	inherited bool // the target need not be known here
+	reply     chan bool
 }
 
-func (e maintained) apply(c *Core) {
-	s, was := c.targets[e.target], c.offline[e.target]
-	known := s != nil || was || e.inherited
-	if known && was != e.offline {
+func (e maintenanceEvent) apply(c *Core) {
+	s, wasOffline := c.sourceByTarget[e.target], c.offline[e.target]
+	known := s != nil || wasOffline || e.inherited
+	if known && wasOffline != e.offline {
 		if e.offline {
 			c.offline[e.target] = true
 		} else {
 			delete(c.offline, e.target)
 		}
 		if s != nil {
-			c.tellOf(s, s.members[e.target])
+			c.publishTargets(s, s.targets[e.target])
 		}
 	}
-	e.known <- known
+	e.reply <- known
 }
 
-// tellOf tells the module and the transport how listed targets of a source may be used now.
-func (c *Core) tellOf(s *source, targets ...Target) {
-	changed := Group{Scope: balance.Changes}
+// publishTargets passes the usable state of listed targets of a source to the decision module and the transport.
+func (c *Core) publishTargets(s *source, targets ...Target) {
+	group := Group{Scope: balance.Changes}
 	ev := balance.Event{Kind: balance.Listed, List: balance.Changes, Local: true}
 	for _, t := range targets {
-		t.Member = c.member(t)
-		changed.Targets = append(changed.Targets, t)
+		t.Member = c.memberOf(t)
+		group.Targets = append(group.Targets, t)
 		ev.Members = append(ev.Members, t.Member)
 	}
 	sortMembers(ev.Members)
-	s.Transport.Listed(changed)
-	c.step(ev)
+	s.Transport.Listed(group)
+	c.enqueue(ev)
 }
 
-// maintainedGroup is what a source tells, with the targets that are offline as draining.
-func (c *Core) maintainedGroup(g Group) Group {
+// applyMaintenance returns a source's list or changes, with the targets that are offline marked as draining.
+func (c *Core) applyMaintenance(g Group) Group {
 	if len(c.offline) == 0 {
 		return g
 	}
--- a/internal/core/maintenance_test.go
+++ b/internal/core/maintenance_test.go
@@ -9,97 +9,97 @@
 	"cottonwell/balance"
 )
 
-func (b *bench) maintain(target string, offline bool) bool {
+func (h *harness) maintain(target string, offline bool) bool {
 	known := make(chan bool, 1)
-	b.do(maintained{target: target, offline: offline, known: known})
+	h.apply(maintenanceEvent{target: target, offline: offline, reply: known})
 	return <-known
 }
 
-// Nothing more goes to a target that is offline, whatever its source lists meanwhile, and what is out there goes on.
-func TestTargetThatIsOfflineGetsNothing(t *testing.T) {
-	b := newBench(t, 2)
-	for len(b.started) == 0 || b.started[len(b.started)-1].Target != "a" {
-		b.take(string(rune('A'+len(b.started))), "c")
-		require.Less(t, len(b.started), 5, "one of two targets gets nothing")
+// An offline target gets no new attempts, whatever its source lists meanwhile. Its outstanding attempts continue.
+func TestOfflineTargetGetsNoAttempts(t *testing.T) {
+	h := newHarness(t, 2)
+	for len(h.started) == 0 || h.started[len(h.started)-1].Target != "a" {
+		h.accept(string(rune('A'+len(h.started))), "c")
+		require.Less(t, len(h.started), 5, "target a gets no attempts")
 	}
-	onA := b.started[len(b.started)-1]
-	require.True(t, b.maintain("a", true))
-	require.True(t, b.maintain("a", true), "twice is as good as once")
-	b.do(listed{"test", Group{Scope: balance.Changes, Targets: []Target{{Member: balance.Member{ID: "a", Zone: "a", Cell: "1"}}}}})
-	b.do(listed{"test", Group{Scope: balance.Whole, Targets: []Target{{Member: balance.Member{ID: "a", Zone: "a", Cell: "1"}}, {Member: balance.Member{ID: "b", Zone: "a", Cell: "2"}}}}})
-	for _, f := range b.core.flows {
-		b.do(ended{Outcome{Ref: Ref{f.number, 0}, Result: balance.OK}})
+	onA := h.started[len(h.started)-1]
+	require.True(t, h.maintain("a", true))
+	require.True(t, h.maintain("a", true), "Offline is idempotent")
+	h.apply(listEvent{"test", Group{Scope: balance.Changes, Targets: []Target{{Member: balance.Member{ID: "a", Zone: "a", Cell: "1"}}}}})
+	h.apply(listEvent{"test", Group{Scope: balance.Whole, Targets: []Target{{Member: balance.Member{ID: "a", Zone: "a", Cell: "1"}}, {Member: balance.Member{ID: "b", Zone: "a", Cell: "2"}}}}})
+	for _, f := range h.core.flows {
+		h.apply(outcomeEvent{Outcome{Ref: Ref{f.number, 0}, Result: balance.OK}})
 	}
-	require.Contains(t, b.answers, Answer{Kind: Served}, "what was out there ended")
-	before := len(b.started)
+	require.Contains(t, h.answers, Answer{Kind: Served}, "the outstanding attempt ended")
+	before := len(h.started)
 	for i := range 20 {
-		b.take("later"+string(rune('A'+i)), "c")
-		if a := b.started[len(b.started)-1]; len(b.started) > before {
+		h.accept("later"+string(rune('A'+i)), "c")
+		if a := h.started[len(h.started)-1]; len(h.started) > before {
 			require.Equal(t, "b", a.Target)
-			b.do(ended{Outcome{Ref: a.Ref, Result: balance.OK}})
+			h.apply(outcomeEvent{Outcome{Ref: a.Ref, Result: balance.OK}})
 		}
-		b.pass(10)
+		h.advance(10)
 	}
-	require.Greater(t, len(b.started), before)
+	require.Greater(t, len(h.started), before)
 	require.Equal(t, "a", onA.Target)
-	require.True(t, b.maintain("a", false))
+	require.True(t, h.maintain("a", false))
 	require.Eventually(t, func() bool {
-		b.take("back"+string(rune(len(b.started))), "c")
-		a := b.started[len(b.started)-1]
-		b.do(ended{Outcome{Ref: a.Ref, Result: balance.OK}})
-		b.pass(10)
+		h.accept("back"+string(rune(len(h.started))), "c")
+		a := h.started[len(h.started)-1]
+		h.apply(outcomeEvent{Outcome{Ref: a.Ref, Result: balance.OK}})
+		h.advance(10)
 		return a.Target == "a"
-	}, 8*time.Second, time.Millisecond, "used again")
+	}, 8*time.Second, time.Millisecond, "the target is used again")
 }
 
-// One that nobody has is not known; one that left the list while it was offline is, and stays offline.
-func TestMaintenanceOfTargetsThatAreNotListed(t *testing.T) {
-	b := newBench(t, 1)
-	require.False(t, b.maintain("z", true))
-	require.False(t, b.maintain("z", false))
-	require.True(t, b.maintain("a", true))
-	b.do(listed{"test", Group{Scope: balance.Changes, Targets: []Target{{Member: balance.Member{ID: "a", State: balance.Gone}}}}})
-	require.True(t, b.maintain("a", true))
-	b.do(listed{"test", Group{Scope: balance.Changes, Targets: []Target{{Member: balance.Member{ID: "a", Zone: "a", Cell: "1"}}}}})
-	b.take("x", "c")
-	require.Empty(t, b.started)
-	require.True(t, b.maintain("a", false))
-	b.pass(20)
-	require.Len(t, b.started, 1)
+// A target that was never listed is unknown. A target that left the list while it was offline is known, and stays offline.
+func TestMaintenanceOfUnlistedTargets(t *testing.T) {
+	h := newHarness(t, 1)
+	require.False(t, h.maintain("z", true))
+	require.False(t, h.maintain("z", false))
+	require.True(t, h.maintain("a", true))
+	h.apply(listEvent{"test", Group{Scope: balance.Changes, Targets: []Target{{Member: balance.Member{ID: "a", State: balance.Gone}}}}})
+	require.True(t, h.maintain("a", true))
+	h.apply(listEvent{"test", Group{Scope: balance.Changes, Targets: []Target{{Member: balance.Member{ID: "a", Zone: "a", Cell: "1"}}}}})
+	h.accept("x", "c")
+	require.Empty(t, h.started)
+	require.True(t, h.maintain("a", false))
+	h.advance(20)
+	require.Len(t, h.started, 1)
 }
 
-// News of a job that is unknown here goes to whoever knows the scheduler's other process, once: what that one passed on does
-// not go back. News of a job that is known here goes nowhere.
-func TestNewsOfUnknownJobsIsPassedOnOnce(t *testing.T) {
-	b := newBench(t, 1)
-	var stray []TargetNews
-	b.core.cfg.Stray = func(n TargetNews) { stray = append(stray, n) }
+// A callback about a job that is unknown here is forwarded to the scheduler's other process. A forwarded callback is not
+// forwarded again, and a callback about a known job is not forwarded.
+func TestUpdateOfUnknownJobIsForwardedOnce(t *testing.T) {
+	h := newHarness(t, 1)
+	var unmatched []TargetNews
+	h.core.cfg.Stray = func(n TargetNews) { unmatched = append(unmatched, n) }
 	unknown := TargetNews{ID: "other's", From: "a", Result: balance.OK}
-	b.do(news{unknown})
-	passedOn := unknown
-	passedOn.PassedOn = true
-	b.do(news{passedOn})
-	b.take("x", "c")
-	b.do(news{TargetNews{ID: "x", From: "a", Result: balance.OK}})
-	require.Equal(t, []TargetNews{unknown}, stray)
-	require.Len(t, b.answers, 1)
-	require.Equal(t, map[string]int{"news of an attempt that is over": 1}, b.core.books.Dropped)
+	h.apply(targetUpdateEvent{unknown})
+	forwarded := unknown
+	forwarded.PassedOn = true
+	h.apply(targetUpdateEvent{forwarded})
+	h.accept("x", "c")
+	h.apply(targetUpdateEvent{TargetNews{ID: "x", From: "a", Result: balance.OK}})
+	require.Equal(t, []TargetNews{unknown}, unmatched)
+	require.Len(t, h.answers, 1)
+	require.Equal(t, map[string]int{"news of an attempt that is over": 1}, h.core.stats.Dropped)
 }
 
-// What another process had offline is taken over, listed here or not.
+// Targets that another process had taken offline are offline here too, whether or not they are listed here.
 func TestMaintenanceIsInherited(t *testing.T) {
-	b := newBench(t, 1)
+	h := newHarness(t, 1)
 	for _, target := range []string{"a", "z"} {
-		e := maintained{target: target, offline: true, inherited: true, known: make(chan bool, 1)}
-		b.do(e)
-		require.True(t, <-e.known)
+		e := maintenanceEvent{target: target, offline: true, inherited: true, reply: make(chan bool, 1)}
+		h.apply(e)
+		require.True(t, <-e.reply)
 	}
-	b.take("x", "c")
-	require.Empty(t, b.started)
+	h.accept("x", "c")
+	require.Empty(t, h.started)
 	targets := make(chan []string, 1)
-	b.do(readMaintained{targets})
+	h.apply(maintainedQuery{targets})
 	require.Equal(t, []string{"a", "z"}, <-targets)
-	require.True(t, b.maintain("a", false))
-	b.pass(20)
-	require.Len(t, b.started, 1)
+	require.True(t, h.maintain("a", false))
+	h.advance(20)
+	require.Len(t, h.started, 1)
 }
--- a/internal/core/relay.go
+++ b/internal/core/relay.go
@@ -5,39 +5,39 @@
 	"cottonwell/internal/clock"
 )
 
-// Ended tells how an attempt ended. Only the first word about an attempt counts.
-func (c *Core) Ended(o Outcome) { c.post(ended{o}) }
+// Ended passes the outcome of an attempt. Only the first outcome of an attempt counts.
+func (c *Core) Ended(o Outcome) { c.post(outcomeEvent{o}) }
 
-type ended struct{ o Outcome }
+type outcomeEvent struct{ outcome Outcome }
 
-func (e ended) apply(c *Core) {
-	f := c.flows[e.o.Flow]
-	if f == nil || e.o.N >= len(f.attempts) || f.attempts[e.o.N].ended {
-		c.drop("outcome of an attempt that is over")
+func (e outcomeEvent) apply(c *Core) {
+	f := c.flows[e.outcome.Flow]
+	if f == nil || e.outcome.N >= len(f.attempts) || f.attempts[e.outcome.N].ended {
+		c.countDropped("outcome of an attempt that is over")
 		return
 	}
-	c.conclude(f, e.o.N, e.o)
+	c.endAttempt(f, e.outcome.N, e.outcome)
 }
 
-// News tells what a target says by itself.
-func (c *Core) News(n TargetNews) { c.post(news{n}) }
+// News passes a callback of a target.
+func (c *Core) News(n TargetNews) { c.post(targetUpdateEvent{n}) }
 
-type news struct{ n TargetNews }
+type targetUpdateEvent struct{ update TargetNews }
 
-func (e news) apply(c *Core) {
-	f := c.byID[e.n.ID]
-	if f == nil && c.cfg.Stray != nil && !e.n.PassedOn {
-		c.cfg.Stray(e.n)
+func (e targetUpdateEvent) apply(c *Core) {
+	f := c.flowsByID[e.update.ID]
+	if f == nil && c.cfg.Stray != nil && !e.update.PassedOn {
+		c.cfg.Stray(e.update)
 		return
 	}
-	if f == nil || f.out < 0 || f.attempts[f.out].target != e.n.From {
-		c.drop("news of an attempt that is over")
+	if f == nil || f.outstanding < 0 || f.attempts[f.outstanding].target != e.update.From {
+		c.countDropped("news of an attempt that is over")
 		return
 	}
-	n := f.out
-	if p := e.n.Progress; p != nil {
+	n := f.outstanding
+	if p := e.update.Progress; p != nil {
 		if p.Data == "" {
-			c.step(balance.Event{Kind: balance.Noted, Request: f.number, Attempt: n, Worker: e.n.From,
+			c.enqueue(balance.Event{Kind: balance.Noted, Request: f.number, Attempt: n, Worker: e.update.From,
 				Started: p.Started, Fraction: p.Fraction})
 		}
 		if !f.answered {
@@ -45,18 +45,20 @@
 		}
 		return
 	}
-	if e.n.Result != balance.OK && f.doubtful(n) {
-		// The word may be of an earlier attempt there, which ended here without the target's word. Taken for this
-		// one's it would let a further attempt out beside it, so this one is given up first.
-		c.drop("an end that may be another attempt's")
-		c.cancel(Ref{f.number, n}, doubtfulEnd)
+	if e.update.Result != balance.OK && f.mayConfuseAttempts(n) {
+		// The callback may belong to an earlier attempt at this target, which ended here without a confirmation of the
+		// target. If it were assigned to the current attempt, a further attempt would run in parallel. So the current
+		// attempt is cancelled first.
+		c.countDropped("an end that may be another attempt's")
+		c.cancel(Ref{f.number, n}, ambiguousEnd)
 		return
 	}
-	c.conclude(f, n, Outcome{Ref: Ref{f.number, n}, Result: e.n.Result, Report: e.n.Report, Body: e.n.Body})
+	c.endAttempt(f, n, Outcome{Ref: Ref{f.number, n}, Result: e.update.Result, Report: e.update.Report, Body: e.update.Body})
 }
 
-// doubtful says whether an earlier attempt at the same target ended without that target's word.
-func (f *flow) doubtful(n int) bool {
+// mayConfuseAttempts reports whether an earlier attempt at the target of attempt n ended without a confirmation of the
+// target. A callback may then belong to either attempt.
+func (f *flow) mayConfuseAttempts(n int) bool {
 	for _, a := range f.attempts[:n] {
 		if a.target == f.attempts[n].target && (a.result == balance.Reset || a.result == balance.TimedOut || a.result == balance.Cancelled) {
 			return true
@@ -65,80 +67,80 @@
 	return false
 }
 
-// conclude ends an attempt, relays a result to the client and tells the module.
-func (c *Core) conclude(f *flow, n int, o Outcome) {
+// endAttempt records the outcome of an attempt, delivers a result to the client and notifies the decision module.
+func (c *Core) endAttempt(f *flow, n int, o Outcome) {
 	a := &f.attempts[n]
 	a.ended, a.endedAt, a.result = true, c.clock.Now(), o.Result
-	if f.out == n {
-		f.out = -1
+	if f.outstanding == n {
+		f.outstanding = -1
 	}
-	c.books.outcome(o.Result)
-	c.trace.ended(f, n)
+	c.stats.countOutcome(o.Result)
+	c.trace.attemptEnded(f, n)
 	if o.Result == balance.OK && !f.answered {
-		c.relay(f, Answer{Kind: Served, Body: o.Body})
+		c.deliver(f, Answer{Kind: Served, Body: o.Body})
 	}
-	c.step(balance.Event{Kind: balance.Ended, Request: f.number, Attempt: n, Worker: a.target, Result: o.Result,
+	c.enqueue(balance.Event{Kind: balance.Ended, Request: f.number, Attempt: n, Worker: a.target, Result: o.Result,
 		Final: f.answered, Elapsed: clock.Duration(a.endedAt - a.sentAt), Report: o.Report})
-	c.book(f)
+	c.removeIfDone(f)
 }
 
-// giveUp gives the fixed response that the module decided on, at once.
-func (c *Core) giveUp(number uint64, ans Answer) {
+// deliverFixed delivers the fixed response that the decision module chose. It does nothing if the flow is over.
+func (c *Core) deliverFixed(number uint64, response Answer) {
 	if f := c.flows[number]; f != nil && !f.answered {
-		c.relay(f, ans)
+		c.deliver(f, response)
 	}
 }
 
-// relay gives a flow its one final answer.
-func (c *Core) relay(f *flow, ans Answer) {
-	if !c.inv.Check(!f.answered, "second-answer", "flow %d", f.number) {
+// deliver sends a flow's one final response to its client.
+func (c *Core) deliver(f *flow, response Answer) {
+	if !c.invariants.Check(!f.answered, "second-answer", "flow %d", f.number) {
 		return
 	}
-	switch ans.Kind {
+	switch response.Kind {
 	case Served:
-		c.books.Served++
+		c.stats.Served++
 	case Refused:
-		c.books.Refused++
+		c.stats.Refused++
 	case Failed:
-		c.books.Failed++
+		c.stats.Failed++
 	}
-	c.trace.answered(f, &ans)
-	f.From.Answer(ans)
-	c.finish(f)
+	c.trace.requestCompleted(f, &response)
+	f.From.Answer(response)
+	c.closeForClient(f)
 }
 
-// overdue answers a flow that the module has left without an answer.
-func (c *Core) overdue(number uint64) {
+// failOverdue fails a flow for which the decision module made no decision before the deadline.
+func (c *Core) failOverdue(number uint64) {
 	f := c.flows[number]
 	if f == nil || f.answered {
 		return
 	}
-	c.log.Error("flow overdue: the module gave no answer in time", "flow", f.number, "id", f.ID, "class", f.Class)
-	c.inv.Check(false, "flow-overdue", "flow %d", f.number)
-	c.relay(f, Answer{Kind: Failed, TimedOut: true, Reason: overdueAnswer})
-	c.step(balance.Event{Kind: balance.Departed, Request: f.number})
+	c.log.Error("flow overdue: no decision of the decision module before the deadline", "flow", f.number, "id", f.ID, "class", f.Class)
+	c.invariants.Check(false, "flow-overdue", "flow %d", f.number)
+	c.deliver(f, Answer{Kind: Failed, TimedOut: true, Reason: noDecision})
+	c.enqueue(balance.Event{Kind: balance.Departed, Request: f.number})
 }
 
-// Finish gives every open flow its final answer now: refused where nothing of it can have
-// run, else failed. It is for the moment before the program would be killed.
-func (c *Core) Finish() { c.post(finishAll{}) }
+// Finish ends every open flow with a final response: refused if no attempt of it can have run, otherwise failed. It is
+// called shortly before the process is killed.
+func (c *Core) Finish() { c.post(finishEvent{}) }
 
-type finishAll struct{}
+type finishEvent struct{}
 
-func (finishAll) apply(c *Core) {
-	c.finished = true
+func (finishEvent) apply(c *Core) {
+	c.shuttingDown = true
 	for _, f := range c.flows {
 		if f.answered {
 			continue
 		}
-		ans := Answer{Kind: Refused, RetryAfter: c.cfg.ComeBack, Reason: ending}
+		response := Answer{Kind: Refused, RetryAfter: c.cfg.ComeBack, Reason: shutdownReason}
 		for _, a := range f.attempts {
 			if c.mayHaveRun(&a) {
-				ans = Answer{Kind: Failed, Reason: ending}
+				response = Answer{Kind: Failed, Reason: shutdownReason}
 			}
 		}
-		c.log.Warn("finished before its time, as the program must end", "flow", f)
-		c.relay(f, ans)
-		c.step(balance.Event{Kind: balance.Departed, Request: f.number})
+		c.log.Warn("open flow ended early because the program is shutting down", "flow", f)
+		c.deliver(f, response)
+		c.enqueue(balance.Event{Kind: balance.Departed, Request: f.number})
 	}
 }
--- a/internal/core/route.go
+++ b/internal/core/route.go
@@ -7,63 +7,62 @@
 	"cottonwell/internal/clock"
 )
 
-// step puts an event in line for the module.
-func (c *Core) step(ev balance.Event) { c.steps = append(c.steps, ev) }
+// enqueue appends an event for the decision module.
+func (c *Core) enqueue(ev balance.Event) { c.pendingEvents = append(c.pendingEvents, ev) }
 
-// route gives the module what has happened, in order, and does what it decides. An
-// action may bring a further event (a send that the rules forbid ends at once): it
-// comes after those that were there before.
+// route passes the pending events to the decision module in order and performs its actions. An action can add an event,
+// such as the end of an attempt that the rules forbid. That event is appended to the pending ones.
 func (c *Core) route() {
-	c.lapse()
-	for i := 0; i < len(c.steps); i++ {
-		c.acts = c.decide(&c.steps[i], c.acts[:0])
-		for j := range c.acts {
-			c.act(&c.acts[j])
+	c.applyRuleExpiry()
+	for i := 0; i < len(c.pendingEvents); i++ {
+		c.actions = c.decide(&c.pendingEvents[i], c.actions[:0])
+		for j := range c.actions {
+			c.perform(&c.actions[j])
 		}
 	}
-	clear(c.steps)
-	c.steps = c.steps[:0]
+	clear(c.pendingEvents)
+	c.pendingEvents = c.pendingEvents[:0]
 }
 
-// decide runs one step of the module. One that panics ends nothing but the flow that
-// it was about: the others' clients still wait for their answers.
+// decide runs the decision module on one event. If the module panics, only the flow of that event fails. The other flows
+// continue.
 func (c *Core) decide(ev *balance.Event, acts []balance.Action) (out []balance.Action) {
 	defer func() {
-		if v := recover(); v != nil {
-			c.log.Error("module panicked", "event", int(ev.Kind), "flow", ev.Request, "cause", fmt.Sprint(v))
-			c.inv.Check(false, "module-panic", "%v", v)
+		if cause := recover(); cause != nil {
+			c.log.Error("module panicked", "event", int(ev.Kind), "flow", ev.Request, "cause", fmt.Sprint(cause))
+			c.invariants.Check(false, "module-panic", "%v", cause)
 			out = acts[:0]
 			if f := c.flows[ev.Request]; f != nil {
-				c.relay(f, Answer{Kind: Failed, Reason: modulePanic})
+				c.deliver(f, Answer{Kind: Failed, Reason: modulePanic})
 			}
 		}
 	}()
 	return c.module.Step(clock.Duration(c.clock.Now()), ev, acts)
 }
 
-// act does one thing that the module decided.
-func (c *Core) act(a *balance.Action) {
+// perform carries out one action of the decision module.
+func (c *Core) perform(a *balance.Action) {
 	switch a.Kind {
 	case balance.Send:
-		c.send(a)
+		c.dispatch(a)
 	case balance.Cancel:
 		c.cancel(Ref{a.Request, a.Attempt}, a.Reason)
 	case balance.Refuse:
 		if c.lease != nil && c.lease.Lapsed() {
-			c.books.RefusedLapsed++
+			c.stats.RefusedLapsed++
 		}
-		back := clock.Millis(a.After)
-		if back <= 0 {
-			back = c.comeBack(a.Request)
+		retryAfter := clock.Millis(a.After)
+		if retryAfter <= 0 {
+			retryAfter = c.defaultRetryAfter(a.Request)
 		}
-		c.giveUp(a.Request, Answer{Kind: Refused, RetryAfter: back, Reason: a.Reason})
+		c.deliverFixed(a.Request, Answer{Kind: Refused, RetryAfter: retryAfter, Reason: a.Reason})
 	case balance.Fail:
 		f := c.flows[a.Request]
-		c.giveUp(a.Request, Answer{Kind: Failed, TimedOut: f != nil && c.clock.Now() > f.deadline-100, Reason: a.Reason})
+		c.deliverFixed(a.Request, Answer{Kind: Failed, TimedOut: f != nil && c.clock.Now() > f.deadline-100, Reason: a.Reason})
 	case balance.Wake:
-		c.timers.add(timer{at: c.clock.Now() + clock.Millis(a.After), what: moduleTimer, id: a.Timer})
+		c.timers.add(timer{at: c.clock.Now() + clock.Millis(a.After), kind: moduleTimer, id: a.Timer})
 	case balance.Probe:
-		c.inv.Check(c.probe(a.Worker), "probe-unknown-target", "%s", a.Worker)
+		c.invariants.Check(c.probe(a.Worker), "probe-unknown-target", "%s", a.Worker)
 	case balance.Subscribe:
 		for _, s := range c.sources {
 			if s.Watch != nil {
@@ -79,20 +78,20 @@
 			c.cfg.Doubt(a.Worker, a.Failing)
 		}
 	case balance.Say:
-		c.log.Info("module says", "text", a.Text)
+		c.log.Info("message from the decision module", "text", a.Text)
 	}
 }
 
-// ring does what a timer is for.
-func (c *Core) ring(t timer) {
-	switch t.what {
+// fire handles a timer that is due.
+func (c *Core) fire(t timer) {
+	switch t.kind {
 	case moduleTimer:
-		c.step(balance.Event{Kind: balance.TimerDue, Timer: t.id})
+		c.enqueue(balance.Event{Kind: balance.TimerDue, Timer: t.id})
 	case attemptTimer:
-		c.expire(Ref{t.id, t.n})
+		c.expire(Ref{t.id, t.attempt})
 	case flowTimer:
-		c.overdue(t.id)
+		c.failOverdue(t.id)
 	case leaseTimer:
-		c.leaseDue()
+		c.leaseTimerDue()
 	}
 }
--- a/internal/core/rules.go
+++ b/internal/core/rules.go
@@ -9,72 +9,73 @@
 	"cottonwell/balance"
 )
 
-// Rules are what the schedulers agreed on, over what the platform's settings and lists say.
+// Rules are the settings that the schedulers agreed on. They take precedence over the platform's settings and lists.
 type Rules struct {
-	Attempts map[string]int     // by class, of a request, at most; none: as the settings have it
-	ComeBack map[string]float64 // by class, ms: the advice on a refusal for which there is none better
-	Cold     float64            // part of what a cold target may be sent
-	Targets  map[string]bool    // that get nothing new
-	Zones    map[string]bool    // whose targets get nothing new
+	Attempts map[string]int     // maximum attempts of a request, by class; unset: as in the settings
+	ComeBack map[string]float64 // milliseconds, by class: retry-after of a refusal for which the decision module sets none
+	Cold     float64            // factor on the load that a cold target may be sent, 0 to 1
+	Targets  map[string]bool    // drained: they get no new attempts
+	Zones    map[string]bool    // drained: their targets get no new attempts
 }
 
-// drains says whether a target gets nothing new.
+// drains reports whether the rules drain a target.
 func (r *Rules) drains(t *Target) bool { return r.Targets[t.ID] || r.Zones[t.Zone] }
 
-// ruling is what is in force at this scheduler. Its clock is looked at before each step: a process may
-// have stood still.
-type ruling struct {
-	rules  Rules
-	to     float64 // until then; infinite: there is nothing that they could lapse into
-	strict Rules   // from then on
+// activeRules are the rules in force at this scheduler. Their expiry is checked against the clock before each step of the
+// decision module, since the process may have been paused.
+type activeRules struct {
+	rules       Rules
+	rulesUntil  float64 // end of rules, in milliseconds; infinite: they do not expire
+	strictRules Rules   // in force from rulesUntil on
 }
 
-// Rule tells of rules that hold until a time, and what holds from then on.
-func (c *Core) Rule(now Rules, until float64, strict Rules) { c.post(ruled{now, until, strict}) }
+// Rule puts rules in force until a time in milliseconds, and the strict rules from then on.
+func (c *Core) Rule(now Rules, until float64, strict Rules) { c.post(rulesEvent{now, until, strict}) }
 
-type ruled struct {
+type rulesEvent struct {
 	now    Rules
 	until  float64
 	strict Rules
 }
 
-func (e ruled) apply(c *Core) {
-	c.to, c.strict = e.until, e.strict
-	c.rule(e.now)
+func (e rulesEvent) apply(c *Core) {
+	c.rulesUntil, c.strictRules = e.until, e.strict
+	c.applyRules(e.now)
 }
 
-// lapse goes over to the strict rules once the others' time is over.
-func (c *Core) lapse() {
-	if c.to > 0 && c.clock.Now() >= c.to {
-		c.to = math.Inf(1)
-		c.rule(c.strict)
+// applyRuleExpiry puts the strict rules in force once the current rules have expired.
+func (c *Core) applyRuleExpiry() {
+	if c.rulesUntil > 0 && c.clock.Now() >= c.rulesUntil {
+		c.rulesUntil = math.Inf(1)
+		c.applyRules(c.strictRules)
 	}
 }
 
-// rule puts rules in force. The module is told first of all, so that what it does next is done by them.
-func (c *Core) rule(r Rules) {
-	had := c.rules
+// applyRules puts rules in force. Their events are inserted before all pending ones, so that the decision module applies
+// the rules to its next decisions.
+func (c *Core) applyRules(r Rules) {
+	previous := c.rules
 	c.rules = r
-	if had.Cold != r.Cold || !maps.Equal(had.Attempts, r.Attempts) {
-		c.steps = slices.Insert(c.steps, 0, balance.Event{Kind: balance.Ruled, Caps: r.Attempts, Cold: r.Cold})
+	if previous.Cold != r.Cold || !maps.Equal(previous.Attempts, r.Attempts) {
+		c.pendingEvents = slices.Insert(c.pendingEvents, 0, balance.Event{Kind: balance.Ruled, Caps: r.Attempts, Cold: r.Cold})
 	}
 	ev := balance.Event{Kind: balance.Listed, List: balance.Changes, Local: true}
 	for _, s := range c.sources {
-		for _, t := range s.members {
-			if had.drains(&t) != r.drains(&t) {
-				ev.Members = append(ev.Members, c.member(t))
+		for _, t := range s.targets {
+			if previous.drains(&t) != r.drains(&t) {
+				ev.Members = append(ev.Members, c.memberOf(t))
 			}
 		}
 	}
 	if len(ev.Members) > 0 {
 		sortMembers(ev.Members)
-		c.steps = slices.Insert(c.steps, 0, ev)
+		c.pendingEvents = slices.Insert(c.pendingEvents, 0, ev)
 	}
 }
 
-// member is a target as the module is told of it: operators' and the schedulers' own drains, and a lease that has run out, go over
-// its list.
-func (c *Core) member(t Target) balance.Member {
+// memberOf returns a target as reported to the decision module. Maintenance, drains by the rules and an expired lease take
+// precedence over the listed state.
+func (c *Core) memberOf(t Target) balance.Member {
 	switch {
 	case t.State != balance.Ready:
 	case c.offline[t.ID], c.rules.drains(&t):
@@ -89,11 +90,11 @@
 	slices.SortFunc(members, func(x, y balance.Member) int { return cmp.Compare(x.ID, y.ID) })
 }
 
-// comeBack is the advice for a request that is refused without any of the module's.
-func (c *Core) comeBack(flow uint64) float64 {
+// defaultRetryAfter returns the retry-after of a refusal for which the decision module set none, in milliseconds.
+func (c *Core) defaultRetryAfter(flow uint64) float64 {
 	if f := c.flows[flow]; f != nil {
-		if back, ruled := c.rules.ComeBack[f.Class]; ruled {
-			return back
+		if retryAfter, found := c.rules.ComeBack[f.Class]; found {
+			return retryAfter
 		}
 	}
 	return c.cfg.ComeBack
--- a/internal/core/send.go
+++ b/internal/core/send.go
@@ -7,66 +7,68 @@
 	"cottonwell/internal/clock"
 )
 
-// send starts an attempt. The rules that hold whatever the module decides are kept
-// here: nothing for a flow that is over, one attempt out at a time, so many at most as the settings
-// say, and repeats only as the class allows. A send against them is never begun, and the module is told so.
-func (c *Core) send(a *balance.Action) {
+// dispatch starts an attempt. It enforces the rules that apply to any decision of the decision module: no attempt after the
+// final response, one outstanding attempt at a time (unless Settings.Duplicates), at most Settings.MaxAttempts attempts, and
+// repeats only as the class allows. An attempt against these rules is not started, and the module gets an Ended event for it.
+func (c *Core) dispatch(a *balance.Action) {
 	f := c.flows[a.Request]
-	if !c.inv.Check(f != nil, "send-unknown-flow", "flow %d", a.Request) {
+	if !c.invariants.Check(f != nil, "send-unknown-flow", "flow %d", a.Request) {
 		return
 	}
 	n, now := len(f.attempts), c.clock.Now()
-	s := c.targets[a.Worker]
+	s := c.sourceByTarget[a.Worker]
 	f.attempts = append(f.attempts, attempt{target: a.Worker, sentAt: now})
-	ok := c.inv.Check(!f.answered, "send-after-answer", "flow %d", f.number) &&
-		c.inv.Check(f.out < 0 || c.cfg.Settings.Duplicates, "two-attempts-out", "flow %d", f.number) &&
-		c.inv.Check(n < c.cfg.Settings.MaxAttempts, "too-many-attempts", "flow %d", f.number) &&
-		c.inv.Check(s != nil, "send-unknown-target", "%s", a.Worker)
-	window := c.latest(f, n)
-	if ok && window <= 0 {
-		ok = c.inv.Check(false, "repeat-of-unsafe", "flow %d", f.number)
+	ok := c.invariants.Check(!f.answered, "send-after-answer", "flow %d", f.number) &&
+		c.invariants.Check(f.outstanding < 0 || c.cfg.Settings.Duplicates, "two-attempts-out", "flow %d", f.number) &&
+		c.invariants.Check(n < c.cfg.Settings.MaxAttempts, "too-many-attempts", "flow %d", f.number) &&
+		c.invariants.Check(s != nil, "send-unknown-target", "%s", a.Worker)
+	windowEnd := c.latestStart(f, n)
+	if ok && windowEnd <= 0 {
+		ok = c.invariants.Check(false, "repeat-of-unsafe", "flow %d", f.number)
 	}
-	lease := c.maySendUntil(s, a.Worker)
-	if reason := whyNotBegun(ok, now, f.deadline, window, lease); reason != "" {
+	leaseEnd := c.maySendUntil(s, a.Worker)
+	if reason := startRefusal(ok, now, f.deadline, windowEnd, leaseEnd); reason != "" {
 		f.attempts[n].ended, f.attempts[n].result = true, balance.NeverSent
-		c.trace.notBegun(f, reason)
-		c.step(balance.Event{Kind: balance.Ended, Request: f.number, Attempt: n, Worker: a.Worker,
+		c.trace.attemptNotStarted(f, reason)
+		c.enqueue(balance.Event{Kind: balance.Ended, Request: f.number, Attempt: n, Worker: a.Worker,
 			Result: balance.NeverSent, Final: f.answered})
 		return
 	}
-	by := now + clock.Millis(a.After)
-	if a.After <= 0 || by > f.deadline {
-		by = f.deadline
+	attemptDeadline := now + clock.Millis(a.After)
+	if a.After <= 0 || attemptDeadline > f.deadline {
+		attemptDeadline = f.deadline
 	}
-	f.attempts[n].by, f.out = s.Transport, n
-	c.books.Sends++
-	c.trace.begun(f, lease-now)
-	c.timers.add(timer{at: by, what: attemptTimer, id: f.number, n: n})
+	f.attempts[n].transport, f.outstanding = s.Transport, n
+	c.stats.Sends++
+	c.trace.attemptStarted(f, leaseEnd-now)
+	c.timers.add(timer{at: attemptDeadline, kind: attemptTimer, id: f.number, attempt: n})
 	if f.Job.Body != nil {
 		f.Job.Body.Retain()
 	}
-	s.Transport.Start(Attempt{Ref: Ref{f.number, n}, ID: f.ID, Class: f.Class, Target: a.Worker, Job: f.Job, Deadline: by, Latest: min(window, lease)})
+	s.Transport.Start(Attempt{Ref: Ref{f.number, n}, ID: f.ID, Class: f.Class, Target: a.Worker, Job: f.Job, Deadline: attemptDeadline, Latest: min(windowEnd, leaseEnd)})
 }
 
-// whyNotBegun says why an attempt may not begin now; empty if it may. The rest are the times until which it could have begun:
-// its client's, that of repeats and that of the lease on its target.
-func whyNotBegun(allowed bool, now, client, window, lease float64) balance.Reason {
+// startRefusal returns the reason why an attempt may not start now, or "" if it may. allowed is whether the rules permit
+// it. The last three parameters are the times by which it must start: the client's deadline, the end of the window for
+// repeats and the end of the lease on its target.
+func startRefusal(allowed bool, now, clientDeadline, windowEnd, leaseEnd float64) balance.Reason {
 	switch {
 	case !allowed:
-		return againstRules
-	case now >= client:
-		return pastItsTime
-	case now >= window:
-		return windowOfClass
-	case now >= lease:
-		return leaseOver
+		return forbiddenByRules
+	case now >= clientDeadline:
+		return pastDeadline
+	case now >= windowEnd:
+		return pastRepeatWindow
+	case now >= leaseEnd:
+		return leaseExpired
 	}
 	return ""
 }
 
-// latest is until when attempt n of a flow may leave: for ever, unless an earlier one may have run; then, by the class,
-// until the targets begin to forget that one, or not at all (0). It is looked at again as the first byte goes.
-func (c *Core) latest(f *flow, n int) float64 {
+// latestStart returns the time by which attempt n of a flow must be sent, in milliseconds. There is no limit (infinity)
+// unless an earlier attempt may have run. Then the limit depends on the class: the end of the time for which targets remember
+// the earlier attempt, or 0 if the class forbids repeats. The transport checks the limit again before the first byte.
+func (c *Core) latestStart(f *flow, n int) float64 {
 	class := c.classes[f.Class]
 	for i := range f.attempts[:n] {
 		if a := &f.attempts[i]; class != nil && class.Effect != balance.Safe && c.mayHaveRun(a) {
@@ -79,7 +81,7 @@
 	return math.Inf(1)
 }
 
-// mayHaveRun says whether an attempt may have run, or still may.
+// mayHaveRun reports whether an attempt may have run or may still run.
 func (c *Core) mayHaveRun(a *attempt) bool {
 	switch a.result {
 	case balance.NoConnection, balance.NeverSent:
@@ -90,8 +92,8 @@
 	return true
 }
 
-// cancel gives an attempt up. It is over once the transport says so: until then the
-// target may not know, and a further attempt would be a second copy.
+// cancel requests the cancellation of an attempt. The attempt ends when the transport reports its outcome. Until then the
+// target may still run it, and a further attempt would be a duplicate.
 func (c *Core) cancel(r Ref, reason balance.Reason) {
 	f := c.flows[r.Flow]
 	if f == nil || r.N >= len(f.attempts) {
@@ -99,19 +101,19 @@
 	}
 	if a := &f.attempts[r.N]; !a.ended && !a.cancelling {
 		a.cancelling = true
-		c.books.Cancels++
-		c.trace.givenUp(f, r.N, reason)
-		a.by.Cancel(Attempt{Ref: r, ID: f.ID, Class: f.Class, Target: a.target})
+		c.stats.Cancels++
+		c.trace.attemptCancelled(f, r.N, reason)
+		a.transport.Cancel(Attempt{Ref: r, ID: f.ID, Class: f.Class, Target: a.target})
 	}
 }
 
-// expire ends an attempt whose time is over. The target is told, but nothing waits for
-// its word: the client's time is over too.
+// expire ends an attempt that timed out. It notifies the target but does not wait for a confirmation, since the client's
+// deadline has passed as well.
 func (c *Core) expire(r Ref) {
 	f := c.flows[r.Flow]
 	if f == nil || f.attempts[r.N].ended {
 		return
 	}
-	c.cancel(r, attemptTime)
-	c.conclude(f, r.N, Outcome{Ref: r, Result: balance.TimedOut})
+	c.cancel(r, attemptTimeout)
+	c.endAttempt(f, r.N, Outcome{Ref: r, Result: balance.TimedOut})
 }
--- a/internal/core/takein.go
+++ b/internal/core/takein.go
@@ -2,20 +2,20 @@
 
 import "cottonwell/balance"
 
-// flow is a request from its taking in until nothing of it is left.
+// flow is a request from its acceptance until it has its final response and no attempt of it is outstanding.
 type flow struct {
 	Request
-	number   uint64
-	deadline float64 // when its client leaves
-	attempts []attempt
-	out      int  // the attempt that is out, or -1
-	answered bool // it has its final answer, or its client left
+	number      uint64
+	deadline    float64 // when the client timeout ends
+	attempts    []attempt
+	outstanding int  // index of the attempt that is outstanding, or -1
+	answered    bool // it has its final response, or its client left
 }
 
-// attempt is one send of a flow.
+// attempt is one dispatch of a flow to a target.
 type attempt struct {
 	target     string
-	by         Transport
+	transport  Transport
 	sentAt     float64
 	endedAt    float64 // if ended
 	result     balance.Result
@@ -23,50 +23,50 @@
 	cancelling bool
 }
 
-// Ticket names a flow to the listener that took it in.
+// Ticket identifies a flow to the listener that submitted it.
 type Ticket struct {
 	core *Core
 	req  *Request
 }
 
-// TakeIn takes a request from a listener, which is answered from now on. The body, if
-// there is one, is the core's to release.
+// TakeIn accepts a request from a listener. From now on the core is responsible for its response, and for releasing its
+// body if there is one.
 func (c *Core) TakeIn(r *Request) Ticket {
-	c.post(takeIn{r, c.clock.Now()})
+	c.post(acceptEvent{r, c.clock.Now()})
 	return Ticket{c, r}
 }
 
-// Left tells that the client went away before its answer.
-func (t Ticket) Left() { t.core.post(left{t.req}) }
+// Left reports that the client left before its final response.
+func (t Ticket) Left() { t.core.post(clientLeftEvent{t.req}) }
 
-type takeIn struct {
-	r  *Request
-	at float64
+type acceptEvent struct {
+	request *Request
+	at      float64
 }
 
-func (e takeIn) apply(c *Core) {
-	c.books.Taken++
-	c.last++
-	f := &flow{Request: *e.r, number: c.last, deadline: e.at + e.r.Patience, out: -1}
+func (e acceptEvent) apply(c *Core) {
+	c.stats.Taken++
+	c.lastFlow++
+	f := &flow{Request: *e.request, number: c.lastFlow, deadline: e.at + e.request.Patience, outstanding: -1}
 	c.admit(f)
 }
 
-type left struct{ r *Request }
+type clientLeftEvent struct{ request *Request }
 
-func (e left) apply(c *Core) {
-	f := c.byID[e.r.ID]
-	if f == nil || f.answered || f.From != e.r.From {
-		return // the answer crossed its leaving
+func (e clientLeftEvent) apply(c *Core) {
+	f := c.flowsByID[e.request.ID]
+	if f == nil || f.answered || f.From != e.request.From {
+		return // the final response was sent before this event was handled
 	}
-	c.books.Left++
-	c.trace.left(f)
-	c.finish(f)
-	c.step(balance.Event{Kind: balance.Departed, Request: f.number})
+	c.stats.Left++
+	c.trace.clientLeft(f)
+	c.closeForClient(f)
+	c.enqueue(balance.Event{Kind: balance.Departed, Request: f.number})
 	c.route()
-	// The module gives up what is out where the platform lets it. Whatever the platform says, what has not left
-	// by now, as a connection is still coming up, does not leave any more.
-	if f.out >= 0 && !f.attempts[f.out].cancelling {
-		a := &f.attempts[f.out]
-		a.by.Cancel(Attempt{Ref: Ref{f.number, f.out}, ID: f.ID, Class: f.Class, Target: a.target, Unsent: true})
+	// The decision module cancels the outstanding attempt if the platform allows that. An attempt that was not sent yet,
+	// because its connection is still being established, is withdrawn in any case.
+	if f.outstanding >= 0 && !f.attempts[f.outstanding].cancelling {
+		a := &f.attempts[f.outstanding]
+		a.transport.Cancel(Attempt{Ref: Ref{f.number, f.outstanding}, ID: f.ID, Class: f.Class, Target: a.target, Unsent: true})
 	}
 }
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -2,41 +2,41 @@
 
 import "container/heap"
 
-// timer is something to do at a time.
+// timer is an entry of timers.
 type timer struct {
-	at   float64
-	what timerKind
-	id   uint64 // the module's name for its timer, or the flow's number
-	n    int    // the attempt's
+	at      float64
+	kind    timerKind
+	id      uint64 // id of the decision module's timer, or number of the flow
+	attempt int    // index of the attempt, for attemptTimer
 }
 
 type timerKind int
 
 const (
-	moduleTimer  timerKind = iota // the module asked for it
-	attemptTimer                  // an attempt's time is over
-	flowTimer                     // the client's patience is over
-	leaseTimer                    // the lease on the list is to be looked at
+	moduleTimer  timerKind = iota // the decision module requested it
+	attemptTimer                  // an attempt timed out
+	flowTimer                     // the deadline of a flow passed
+	leaseTimer                    // the lease on the list must be reviewed
 )
 
-// timers is a heap, the earliest first.
-type timers struct{ h timerHeap }
+// timers is a priority queue of timers, the earliest first.
+type timers struct{ queue timerHeap }
 
-func (t *timers) add(x timer) { heap.Push(&t.h, x) }
+func (t *timers) add(x timer) { heap.Push(&t.queue, x) }
 
-func (t *timers) first() (float64, bool) {
-	if len(t.h) == 0 {
+func (t *timers) earliest() (float64, bool) {
+	if len(t.queue) == 0 {
 		return 0, false
 	}
-	return t.h[0].at, true
+	return t.queue[0].at, true
 }
 
-// due rings the earliest timer if it has come due.
-func (t *timers) due(now float64, ring func(timer)) bool {
-	if len(t.h) == 0 || t.h[0].at > now {
+// fireEarliest removes the earliest timer and calls fire with it, if it is due. It reports whether one was due.
+func (t *timers) fireEarliest(now float64, fire func(timer)) bool {
+	if len(t.queue) == 0 || t.queue[0].at > now {
 		return false
 	}
-	ring(heap.Pop(&t.h).(timer))
+	fire(heap.Pop(&t.queue).(timer))
 	return true
 }
 
--- a/internal/core/trace.go
+++ b/internal/core/trace.go
@@ -9,31 +9,31 @@
 	"cottonwell/balance"
 )
 
-// Why the core itself refused or failed a request, or gave an attempt up.
+// Reasons for which the core itself refuses or fails a request, or cancels an attempt.
 const (
-	idInUse       balance.Reason = "id in use"
-	tooManyOpen   balance.Reason = "too many requests open"
-	ending        balance.Reason = "the program ends"
-	overdueAnswer balance.Reason = "no decision in time"
-	modulePanic   balance.Reason = "decision module panicked"
-	attemptTime   balance.Reason = "attempt timed out"
-	doubtfulEnd   balance.Reason = "an end that may be another attempt's"
+	idInUse        balance.Reason = "id in use"
+	tooManyOpen    balance.Reason = "too many requests open"
+	shutdownReason balance.Reason = "the program ends"
+	noDecision     balance.Reason = "no decision in time"
+	modulePanic    balance.Reason = "decision module panicked"
+	attemptTimeout balance.Reason = "attempt timed out"
+	ambiguousEnd   balance.Reason = "an end that may be another attempt's"
 )
 
-// Why an attempt was not begun.
+// Reasons for which an attempt is not started.
 const (
-	againstRules  balance.Reason = "against the rules"
-	leaseOver     balance.Reason = "lease on the target over"
-	pastItsTime   balance.Reason = "past its time"
-	windowOfClass balance.Reason = "past the window for repeats"
+	forbiddenByRules balance.Reason = "against the rules"
+	leaseExpired     balance.Reason = "lease on the target over"
+	pastDeadline     balance.Reason = "past its time"
+	pastRepeatWindow balance.Reason = "past the window for repeats"
 )
 
-// Reasons are counts of decisions by their reasons.
+// Reasons are the numbers of decisions, by reason.
 type Reasons struct {
-	Refused, Failed map[balance.Reason]int // final answers
-	GivenUp         map[balance.Reason]int // attempts
-	NotBegun        map[balance.Reason]int // attempts
-	Retries         map[string]int         // attempts after the first, by how the one before ended
+	Refused, Failed map[balance.Reason]int // final responses
+	GivenUp         map[balance.Reason]int // cancelled attempts
+	NotBegun        map[balance.Reason]int // attempts not started
+	Retries         map[string]int         // attempts after the first, by the result of the previous one
 }
 
 func newReasons() Reasons {
@@ -46,7 +46,7 @@
 		NotBegun: maps.Clone(r.NotBegun), Retries: maps.Clone(r.Retries)}
 }
 
-// trace writes what becomes of each request to the log at its debug level, with the request's id, and counts the reasons.
+// trace logs the course of each request at the debug level, with the request's id, and counts the reasons of decisions.
 type trace struct {
 	log     *slog.Logger
 	enabled bool
@@ -57,8 +57,8 @@
 	return trace{log: log, enabled: log.Enabled(context.Background(), slog.LevelDebug), reasons: newReasons()}
 }
 
-// answered notes a request's final answer.
-func (t *trace) answered(f *flow, a *Answer) {
+// requestCompleted logs and counts the final response of a request.
+func (t *trace) requestCompleted(f *flow, a *Answer) {
 	kind := "served"
 	switch a.Kind {
 	case Refused:
@@ -69,71 +69,72 @@
 		t.reasons.Failed[a.Reason]++
 	}
 	if t.enabled {
-		t.log.Debug("request answered", "kind", kind, "reason", a.Reason, "request", f)
+		t.log.Debug("request completed", "kind", kind, "reason", a.Reason, "request", f)
 	}
 }
 
-// left notes that a client left before its answer.
-func (t *trace) left(f *flow) {
+// clientLeft logs that a client left before its final response.
+func (t *trace) clientLeft(f *flow) {
 	if t.enabled {
 		t.log.Debug("client left", "request", f)
 	}
 }
 
-// begun notes the begin of a request's latest attempt. leaseLeft is how long its target may still be sent to, in ms.
-func (t *trace) begun(f *flow, leaseLeft float64) {
+// attemptStarted logs the start of a request's latest attempt and counts retries. leaseLeft is the remaining time of the
+// lease on its target, in milliseconds.
+func (t *trace) attemptStarted(f *flow, leaseLeft float64) {
 	n := len(f.attempts) - 1
-	before := ""
+	previous := ""
 	if n > 0 {
-		before = f.attempts[n-1].String()
-		t.reasons.Retries[before]++
+		previous = f.attempts[n-1].String()
+		t.reasons.Retries[previous]++
 	}
 	if !t.enabled {
 		return
 	}
-	record := t.log.With("id", f.ID, "attempt", n, "target", f.attempts[n].target)
+	entry := t.log.With("id", f.ID, "attempt", n, "target", f.attempts[n].target)
 	if n > 0 {
-		record = record.With("after", before)
+		entry = entry.With("after", previous)
 	}
 	if !math.IsInf(leaseLeft, 1) {
-		record = record.With("lease_left_ms", leaseLeft)
+		entry = entry.With("lease_left_ms", leaseLeft)
 	}
-	record.Debug("attempt begun")
+	entry.Debug("attempt started")
 }
 
-// notBegun notes that an attempt that was decided on was not begun.
-func (t *trace) notBegun(f *flow, reason balance.Reason) {
+// attemptNotStarted logs and counts an attempt that the decision module requested and that was not started.
+func (t *trace) attemptNotStarted(f *flow, reason balance.Reason) {
 	t.reasons.NotBegun[reason]++
 	if t.enabled {
 		n := len(f.attempts) - 1
-		t.log.Debug("attempt not begun", "id", f.ID, "attempt", n, "target", f.attempts[n].target, "reason", reason)
+		t.log.Debug("attempt not started", "id", f.ID, "attempt", n, "target", f.attempts[n].target, "reason", reason)
 	}
 }
 
-// givenUp notes that an attempt is given up.
-func (t *trace) givenUp(f *flow, n int, reason balance.Reason) {
+// attemptCancelled logs and counts the cancellation of an attempt.
+func (t *trace) attemptCancelled(f *flow, n int, reason balance.Reason) {
 	t.reasons.GivenUp[reason]++
 	if t.enabled {
-		t.log.Debug("attempt given up", "id", f.ID, "attempt", n, "target", f.attempts[n].target, "reason", reason)
+		t.log.Debug("attempt cancelled", "id", f.ID, "attempt", n, "target", f.attempts[n].target, "reason", reason)
 	}
 }
 
-// ended notes how an attempt ended.
-func (t *trace) ended(f *flow, n int) {
+// attemptEnded logs the result of an attempt.
+func (t *trace) attemptEnded(f *flow, n int) {
 	if t.enabled {
 		a := &f.attempts[n]
 		t.log.Debug("attempt ended", "id", f.ID, "attempt", n, "target", a.target, "result", a.result, "elapsed_ms", a.endedAt-a.sentAt)
 	}
 }
 
-// word notes that a word of discovery's, so many milliseconds old, may renew the lease on the list.
-func (t *trace) word(by string, age float64) {
+// leaseConfirmed logs a confirmation of the list, age milliseconds old, that may renew the lease.
+func (t *trace) leaseConfirmed(by string, age float64) {
 	if t.enabled {
-		t.log.Debug("word of discovery", "by", by, "age_ms", age)
+		t.log.Debug("list confirmation", "by", by, "age_ms", age)
 	}
 }
 
-// String is how the attempt ended, or that it has not.
+// String returns the attempt's result, or that it has not ended.
 func (a *attempt) String() string {
 	if !a.ended {
 		return "still out"
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -1,9 +1,27 @@
-// Package core is the scheduler between its fronts: flows, their attempts and the
-// outcomes of these. It knows no wire. One goroutine owns the decision module and
-// all flow state; whatever happens outside reaches it as an event by channel.
+// Package core runs the request flows of one scheduler, independently of any wire protocol.
 //
-// A flow passes a chain of stages, each in a file of its own: take in (takein.go),
-// admit (admit.go), route (route.go), send (send.go), relay (relay.go), book (book.go).
+// A flow is one client request from its acceptance until no attempt of it is outstanding. Listeners submit
+// requests with Core.TakeIn and receive progress and exactly one final response through the Listener interface. The
+// decision module (package decide) chooses the target of each attempt and decides about refusals, cancellations and
+// retries. Core carries these decisions out through the Transport of the target's Source. It enforces the rules that
+// apply to any decision, such as the limit on attempts and the repeat rules of a class.
+//
+// A flow passes through these stages:
+//
+//   - accept: create the flow from a request;
+//   - admit: pass the flow to the decision module, or reject it with a fixed response;
+//   - route: run the decision module on the pending events and perform its actions;
+//   - dispatch: start an attempt at a target;
+//   - deliver: pass progress and the final response to the client;
+//   - record: update the counters and remove the finished flow.
+//
+// New is given the settings, the clock, the sources of targets and the functions to call for other components. Run
+// executes the core: its goroutine owns the decision module and all flow state. The other methods may be called from any
+// goroutine and post an event to it.
+//
+// Core also keeps the lease on the list of the watched source, applies the rules that the schedulers agreed on and keeps
+// targets offline for maintenance. It does not parse or write messages of a protocol, open connections or choose targets.
+// Times are milliseconds on the configured clock, and durations are milliseconds.
 package core
 
 import (
@@ -11,102 +29,107 @@
 	"cottonwell/internal/buffer"
 )
 
-// Request is what a front takes in from a client.
+// Request is a client request as a listener submits it.
 type Request struct {
-	ID       string // the client's name for it, new with every request
+	ID       string // chosen by the client, unique per request
 	Class    string
 	Tenant   string
-	Subject  string  // what it is about, or empty
-	Patience float64 // milliseconds until the client leaves
+	Subject  string  // key of what the request is about, or empty
+	Patience float64 // client timeout in milliseconds
 	Slots    float64
-	Memory   float64 // units that it needs, 0 when unknown
-	Hint     float64 // expected work in milliseconds, 0 when unknown
-	Repeat   bool    // the client marks it as a later try
-	First    bool    // the front knows that it is none
+	Memory   float64 // memory units required, 0 if unknown
+	Hint     float64 // expected work in milliseconds, 0 if unknown
+	Repeat   bool    // the client marked it as a retry
+	First    bool    // the listener is sure that it is not a retry
 	Job      Job
 	From     Listener
 }
 
-// Job is what a target is asked to do; it passes on unchanged.
+// Job is the work for a target. Core forwards it unchanged.
 type Job struct {
-	Method, Path string       // what is asked for, in the words of the request line
-	Key          string       // the key by which targets drop repeats, or empty
+	Method, Path string       // as in the request line
+	Key          string       // idempotency key by which targets drop repeats, or empty
 	Type         string       // content type, or empty
 	Body         *buffer.Body // may be nil
-	Function     string       // the one that a target must have, or empty: any of the class
-	Unique       string       // by which the client knows a repeat, or empty
-	Priority     int          // higher goes first; 0 is the usual
+	Function     string       // function that the target must offer; empty: any target of the class
+	Unique       string       // the client's key for recognizing a repeat, or empty
+	Priority     int          // higher is served first; 0 is normal
 }
 
-// Listener is the client's side of a flow. Both calls come from the core's goroutine
-// and must not block. Answer comes exactly once, unless the client left first.
+// Listener receives the responses of a flow for its client. Core calls both methods from its own goroutine, so they must
+// not block. It calls Answer exactly once, or never if the client left first.
 type Listener interface {
 	Answer(Answer)
 	Progress(Progress)
 }
 
-// AnswerKind tells final answers apart.
+// AnswerKind is the kind of a final response.
 type AnswerKind int
 
-// The kinds of final answers.
+// The kinds of final responses.
 const (
 	Served  AnswerKind = iota // Body holds a target's result
-	Refused                   // fixed response: to try again does no harm
-	Failed                    // fixed response: no promise about the effect
+	Refused                   // fixed response: a retry does no harm
+	Failed                    // fixed response: no guarantee whether the request ran
 )
 
-// Answer is the final answer of a flow.
+// Answer is the final response of a flow.
 type Answer struct {
 	Kind       AnswerKind
 	Body       string
-	RetryAfter float64        // Refused: when to come back, in milliseconds
-	TimedOut   bool           // Failed: because time ran out
-	Reason     balance.Reason // Refused, Failed: why, for the log
+	RetryAfter float64        // Refused: retry-after in milliseconds
+	TimedOut   bool           // Failed: the deadline was reached
+	Reason     balance.Reason // Refused, Failed: reason for the log
 }
 
-// Progress is news of a running attempt.
+// Progress is a progress report of a running attempt.
 type Progress struct {
 	Started   bool
-	Fraction  float64 // share done, if not Started
-	Data      string  // a part of the result, if the target sends it early
+	Fraction  float64 // completed share, from 0 to 1; unset if Started
+	Data      string  // partial result that the target sends before the end
 	Warning   bool    // Data is a warning
 	Exception bool    // Data is an exception
 }
 
-// Ref names an attempt: the flow's number and the attempt's within it.
+// Ref identifies an attempt by the number of its flow and its index within the flow, from 0.
 type Ref struct {
 	Flow uint64
 	N    int
 }
 
-// Attempt is what a transport is given to start.
+// Attempt is an attempt as passed to Transport.Start and Transport.Cancel.
 type Attempt struct {
 	Ref
-	ID       string // the client's name for the request
-	Class    string
-	Target   string
-	Job      Job     // its body is held for the transport until it calls Release; not given to Cancel
-	Deadline float64 // when the core stops waiting, on its clock; not given to Cancel
-	Latest   float64 // when it may leave at the latest: the class may not be repeated later, or the target's lease ends (0: no limit); not given to Cancel
-	Unsent   bool    // for Cancel: only if nothing of it has left, and with no word to the target
+	ID     string // Request.ID
+	Class  string
+	Target string
+	// Job is the work to do. Its body is retained for the transport, which must call Release. Unset for Cancel.
+	Job Job
+	// Deadline is when the core stops waiting for the attempt, in milliseconds on its clock. Unset for Cancel.
+	Deadline float64
+	// Latest is the time by which the first byte must be sent, in milliseconds on the core's clock (0: no limit). It is
+	// the end of the class's window for repeats or of the target's lease, whichever is earlier. Unset for Cancel.
+	Latest float64
+	// Unsent restricts Cancel to an attempt of which no byte was sent. The target is not notified.
+	Unsent bool
 }
 
-// Transport reaches the targets of one source. All calls come from the core's
-// goroutine and must not block. Each Start is followed by one Outcome for its Ref;
-// Cancel asks for it to come soon. Each Probe is followed by one ProbeResult.
+// Transport communicates with the targets of one source. Core calls its methods from its own goroutine, so they must not
+// block. The transport reports one Outcome for each Start and one ProbeResult for each Probe. Cancel requests that
+// the Outcome be reported soon.
 type Transport interface {
 	Start(Attempt)
 	Cancel(Attempt)
 	Probe(target string)
-	// Listed tells of the list as it now is, before anything is sent by it.
+	// Listed passes a new list, or changes to it, before any attempt is dispatched on the basis of it.
 	Listed(Group)
 }
 
-// Source is a transport together with who tells of its targets.
+// Source is a transport with the provider of its list of targets.
 type Source struct {
 	Name      string
 	Transport Transport
-	// Watch asks for the list and its changes; nil where changes come unasked.
+	// Watch requests the list and its changes. It is nil if the source reports changes without a request.
 	Watch func()
 }
 
@@ -114,7 +137,7 @@
 type Target struct {
 	balance.Member
 	Address string
-	// StartedMS is when it last started, on the core's clock; 0 for long ago.
+	// StartedMS is when it last started, in milliseconds on the core's clock; 0: long ago.
 	StartedMS float64
 }
 
@@ -122,35 +145,35 @@
 type Group struct {
 	Scope   balance.ListScope
 	Targets []Target
-	// ReadAt is when its first byte was read, on the core's clock. It counts for what a source that is watched tells.
+	// ReadAt is when its first byte was read, in milliseconds on the core's clock. It is used for a watched source only.
 	ReadAt float64
 }
 
-// Outcome tells how an attempt ended.
+// Outcome is how an attempt ended.
 type Outcome struct {
 	Ref
 	Result balance.Result
 	Report balance.Report
-	Body   string // of a served one
+	Body   string // the result if the attempt succeeded
 }
 
-// TargetNews is what a target says by itself, not as the answer to a send.
+// TargetNews is a callback of a target about an attempt, separate from the response to the dispatch.
 type TargetNews struct {
-	ID, From string // the request's, and the target's name
-	Progress *Progress
-	Result   balance.Result // if Progress is nil: how the attempt ended
+	ID, From string         // Request.ID and the target's name
+	Progress *Progress      // nil if the attempt ended
+	Result   balance.Result // how the attempt ended, if Progress is nil
 	Report   balance.Report
 	Body     string
-	PassedOn bool // by another process of this scheduler, to which it came
+	PassedOn bool // another process of this scheduler received and forwarded it
 }
 
-// ProbeResult is how a probe ended.
+// ProbeResult is the result of a probe.
 type ProbeResult struct {
 	Target  string
 	Result  balance.Result
-	SentAt  float64 // when it was asked for, on the core's clock
-	Elapsed float64
+	SentAt  float64 // when the probe was requested, in milliseconds on the core's clock
+	Elapsed float64 // milliseconds
 	Report  balance.Report
-	// NotReady says that the target runs and answered that it takes nothing new.
+	// NotReady is set if the target responded that it accepts no new work.
 	NotReady bool
 }
