--- a/internal/core/leases.go
+++ b/internal/core/leases.go
@@ -56,8 +56,8 @@
 	if c.cfg.Tell == nil || !settings.Peers || settings.Fleet < 2 {
 		return nil
 	}
-	c.peers, err = freshness.NewPeers(now, freshness.PeersConfig{Self: settings.Self, Fleet: settings.Fleet, Seed: c.cfg.Seed, AskEvery: peerQueryIntervalMS,
-		AskAt: queryAgeUnwatchedMS, SilentAt: queryAgeWatchedMS, AskMany: peersPerQuery, Younger: minAgeGainMS, KeepFor: keepQueryMS}, c.lease)
+	c.peers, err = freshness.NewPeers(now, freshness.PeersConfig{Self: settings.Self, Fleet: settings.Fleet, Seed: c.cfg.Seed, QueryIntervalMS: peerQueryIntervalMS,
+		UnwatchedQueryAgeMS: queryAgeUnwatchedMS, WatchedQueryAgeMS: queryAgeWatchedMS, PeersPerQuery: peersPerQuery, MinAgeGainMS: minAgeGainMS, KeepQueryMS: keepQueryMS}, c.lease)
 	return err
 }
 
@@ -76,7 +76,7 @@
 	if g.Scope == balance.FromDisk {
 		return c.lease.Load(now, serving)
 	}
-	return c.lease.Listed(now, g.ReadAt, serving)
+	return c.lease.ConfirmList(now, g.ReadAt, serving)
 }
 
 // SignOfLife reports a heartbeat on the open watch of a source, and when it was read.
@@ -91,7 +91,7 @@
 	c.stats.SignsOfLife++
 	c.trace.leaseConfirmed("heartbeat", c.clock.Now()-e.readAt)
 	if s := c.sources[e.source]; s != nil && c.lease != nil && s == c.leasedSource {
-		c.afterLeaseEvent(s, c.lease.SignOfLife(c.clock.Now(), e.readAt))
+		c.afterLeaseEvent(s, c.lease.Heartbeat(c.clock.Now(), e.readAt))
 	}
 }
 
@@ -106,13 +106,13 @@
 		return
 	}
 	now := c.clock.Now()
-	c.afterLeaseEvent(s, c.lease.EndBy(now, now+c.cfg.MovedLease))
+	c.afterLeaseEvent(s, c.lease.LimitTo(now, now+c.cfg.MovedLease))
 }
 
 // watchLost notifies the lease that a request to the source failed or that its watch ended.
 func (c *Core) watchLost(s *source) {
 	if c.lease != nil && s == c.leasedSource {
-		c.afterLeaseEvent(s, c.lease.WatchLost(c.clock.Now()))
+		c.afterLeaseEvent(s, c.lease.WatchEnded(c.clock.Now()))
 	}
 }
 
@@ -121,14 +121,14 @@
 	if c.lease == nil || c.sourceByTarget[r.Target] != c.leasedSource {
 		return
 	}
-	answer := freshness.Silent
+	status := freshness.NoResponse
 	switch {
 	case r.NotReady:
-		answer = freshness.NotReady
+		status = freshness.NotReady
 	case r.Result == balance.OK:
-		answer = freshness.Serving
+		status = freshness.Serving
 	}
-	c.afterLeaseEvent(c.leasedSource, c.lease.Probed(c.clock.Now(), r.Target, answer))
+	c.afterLeaseEvent(c.leasedSource, c.lease.Probed(c.clock.Now(), r.Target, status))
 }
 
 // receiveListMessage handles a query or a response of another scheduler about the confirmation of the list.
@@ -137,7 +137,7 @@
 		c.unreadableMessages++
 		return
 	}
-	out, changed, err := c.peers.Heard(c.clock.Now(), sender, raw)
+	out, changed, err := c.peers.Receive(c.clock.Now(), sender, raw)
 	if err != nil {
 		c.unreadableMessages++
 		return
@@ -176,8 +176,8 @@
 	now := c.clock.Now()
 	at := c.lease.Next(now)
 	if c.peers != nil {
-		c.sendListMessages(c.peers.Renewed(now))
-		c.sendListMessages(c.peers.Due(now))
+		c.sendListMessages(c.peers.DueResponses(now))
+		c.sendListMessages(c.peers.DueQueries(now))
 		at = min(at, c.peers.Next(now))
 	}
 	if waiting := c.leaseTimerAt > now; !math.IsInf(at, 1) && (!waiting || at < c.leaseTimerAt) {
--- a/internal/freshness/freshness.go
+++ b/internal/freshness/freshness.go
@@ -1,11 +1,16 @@
-// Package freshness bounds how long a list of targets is acted on without word of discovery.
+// Package freshness limits how long a scheduler uses a list of targets that discovery no longer confirms.
 //
-// The list is held under a lease. Only discovery renews it, as nobody else knows which targets are listed: by a list, by
-// changes, and by a sign of life on a watch whose first list has come. Another scheduler may pass such a word on, with its
-// age (Peers). What a target answers to a probe shows that it runs, and not that it is still listed; a probe can only take
-// a target away, when the target says that it drains.
+// Lease is the lease on the list. The caller passes it the lists and changes of discovery, the heartbeats of the watch, the
+// end of the watch and the results of probes. Lease returns which targets may be sent to, and until when. Only discovery
+// can confirm that a target is still listed. So the lease is renewed by a list, by changes, and by a heartbeat on a watch
+// that has received its first list. A response to a probe shows that a target runs, but not that it is listed. So a probe
+// never renews the lease. It only withholds a target that reports that it drains.
 //
-// Lease and Peers are state machines without I/O, clock or goroutine. Times are milliseconds on the caller's clock.
+// Peers exchanges confirmations between schedulers. A scheduler that gets no response from discovery queries others and
+// uses a confirmation that they forward with its age. The caller sends and receives the datagrams.
+//
+// Lease and Peers are state machines without I/O, clock or goroutine, and not safe for concurrent use. The package does not
+// poll discovery and does not probe targets. Times are milliseconds on the caller's clock, and durations are milliseconds.
 package freshness
 
 import (
@@ -16,210 +21,213 @@
 	"cottonwell/internal/gossip"
 )
 
-// Answer is what came of a probe.
-type Answer int
+// ProbeStatus is the result of a probe.
+type ProbeStatus int
 
-// The answers to a probe.
+// The results of a probe.
 const (
-	Serving  Answer = iota // the target takes new work
-	NotReady               // the target runs and takes no new work: it drains
-	Silent                 // no answer, or no connection
+	Serving    ProbeStatus = iota // the target accepts new work
+	NotReady                      // the target runs and accepts no new work: it drains
+	NoResponse                    // no response, or no connection
 )
 
-// Target is a target that serves by the list.
+// Target is a target that is listed as serving.
 type Target struct {
 	Name      string
 	StartedMS float64 // its last start, in milliseconds since the Unix epoch; 0: long ago
 }
 
-// entry is what is known of a listed target.
+// entry is the state of a listed target.
 type entry struct {
 	key         gossip.Key
-	confirmedAt float64 // the youngest word that names this target, though not all of the list
-	notReady    bool    // it said so since the last list, while no watch was open
-	cut         bool    // it does not serve any more by a word that another scheduler passed on
-	withheld    bool    // as last reviewed
+	confirmedAt float64 // time of the latest confirmation of this target alone, not of the whole list
+	notReady    bool    // a probe reported NotReady since the last list, while no watch was open
+	removed     bool    // a confirmation forwarded by another scheduler excludes it
+	withheld    bool    // as of the last review
 }
 
-// Lease is the lease on the list of one discovery source. It begins as run out: however a list was come by, discovery
-// has not said yet that it holds.
+// Lease is the lease on the list of one discovery source. It starts as expired, since discovery has not confirmed the
+// initial list yet, wherever that list is from.
 type Lease struct {
-	watched  float64 // how long a renewal lasts while a watch is open, in ms
-	apart    float64 // and while none is
-	wordAt   float64 // the youngest word that names the whole list
-	valid    bool    // as last reviewed
-	lapsed   bool    // nothing is confirmed, neither the list nor any target of it; as last reviewed
-	watching bool    // a watch is open, and its first list has come
-	targets  map[string]*entry
-	byKey    map[gossip.Key]*entry
-	keys     []gossip.Key // sorted
-	digest   uint64       // of keys
-	past     []pastList   // that this one replaced, the oldest first
+	watchedDuration   float64 // duration of a renewal while a watch is open, in milliseconds
+	unwatchedDuration float64 // duration of a renewal while no watch is open, in milliseconds
+	confirmedAt       float64 // time of the latest confirmation of the whole list
+	valid             bool    // the lease on the whole list is valid, as of the last review
+	lapsed            bool    // the leases on the list and on each single target have expired, as of the last review
+	watching          bool    // a watch is open, and its first list was received
+	entries           map[string]*entry
+	entryByKey        map[gossip.Key]*entry
+	sortedKeys        []gossip.Key   // sorted
+	digest            uint64         // of sortedKeys
+	previousLists     []previousList // lists replaced by later ones, the oldest first
 }
 
-// pastList is a list that was held once.
-type pastList struct {
+// previousList is a replaced list.
+type previousList struct {
 	digest uint64
 	keys   []gossip.Key // sorted
 }
 
-// pastLists is how many lists are remembered: other schedulers may hold an old one still.
-const pastLists = 16
+// maxPreviousLists is the number of replaced lists that are kept, since other schedulers may still use an old one.
+const maxPreviousLists = 16
 
 var never = math.Inf(-1)
 
-// NewLease returns a lease on an empty list that has run out. Each renewal lasts so many milliseconds while a watch is open,
-// and so many, no more, while none is.
-func NewLease(watched, apart float64) (*Lease, error) {
-	if !(apart > 0 && apart <= watched) || math.IsInf(watched, 1) {
-		return nil, fmt.Errorf("freshness: a lease of %g ms, and of %g ms without a watch", watched, apart)
+// NewLease returns an expired lease on an empty list. A renewal lasts watchedDuration milliseconds while a watch is open and
+// unwatchedDuration milliseconds while none is open. unwatchedDuration must not exceed watchedDuration.
+func NewLease(watchedDuration, unwatchedDuration float64) (*Lease, error) {
+	if !(unwatchedDuration > 0 && unwatchedDuration <= watchedDuration) || math.IsInf(watchedDuration, 1) {
+		return nil, fmt.Errorf("freshness: invalid lease durations: %g ms with a watch, %g ms without", watchedDuration, unwatchedDuration)
 	}
-	return &Lease{watched: watched, apart: apart, wordAt: never, lapsed: true, digest: gossip.DigestOf(nil)}, nil
+	return &Lease{watchedDuration: watchedDuration, unwatchedDuration: unwatchedDuration, confirmedAt: never, lapsed: true, digest: gossip.DigestOf(nil)}, nil
 }
 
-// Load takes over a list that is no word of discovery: that of the start. Like all events it says whether a target is
-// withheld or released by it that was not, or was, before.
+// Load sets the list without a confirmation by discovery, such as the stored list at the start. Like all methods for events,
+// it reports whether the withheld state of any target changed.
 func (l *Lease) Load(now float64, serving []Target) (changed bool) {
-	old := l.targets
-	l.targets, l.byKey = make(map[string]*entry, len(serving)), make(map[gossip.Key]*entry, len(serving))
-	before := pastList{l.digest, l.keys}
-	l.keys = make([]gossip.Key, 0, len(serving))
+	oldEntries := l.entries
+	l.entries, l.entryByKey = make(map[string]*entry, len(serving)), make(map[gossip.Key]*entry, len(serving))
+	previous := previousList{l.digest, l.sortedKeys}
+	l.sortedKeys = make([]gossip.Key, 0, len(serving))
 	for _, t := range serving {
 		e := &entry{key: gossip.KeyOf(t.Name, t.StartedMS), confirmedAt: never}
-		if was := old[t.Name]; was != nil {
-			e.withheld = was.withheld
+		if oldEntry := oldEntries[t.Name]; oldEntry != nil {
+			e.withheld = oldEntry.withheld
 		}
-		l.targets[t.Name], l.byKey[e.key] = e, e
-		l.keys = append(l.keys, e.key)
+		l.entries[t.Name], l.entryByKey[e.key] = e, e
+		l.sortedKeys = append(l.sortedKeys, e.key)
 	}
-	slices.Sort(l.keys)
-	if l.digest = gossip.DigestOf(l.keys); l.digest != before.digest {
-		l.past = append(l.past, before)
-		l.past = l.past[max(0, len(l.past)-pastLists):]
+	slices.Sort(l.sortedKeys)
+	if l.digest = gossip.DigestOf(l.sortedKeys); l.digest != previous.digest {
+		l.previousLists = append(l.previousLists, previous)
+		l.previousLists = l.previousLists[max(0, len(l.previousLists)-maxPreviousLists):]
 	}
 	return l.Review(now)
 }
 
-// Listed takes over the list as discovery has just told it or changed it, by what was read at a time.
-func (l *Lease) Listed(now, readAt float64, serving []Target) (changed bool) {
+// ConfirmList sets the list after discovery sent it, or changes to it, that were read at readAt. It renews the lease.
+func (l *Lease) ConfirmList(now, readAt float64, serving []Target) (changed bool) {
 	l.watching = true
-	l.wordAt = max(l.wordAt, readAt)
+	l.confirmedAt = max(l.confirmedAt, readAt)
 	return l.Load(now, serving)
 }
 
-// SignOfLife tells of one that was read at a time on the open watch.
-func (l *Lease) SignOfLife(now, readAt float64) (changed bool) {
-	if readAt > l.wordAt {
-		l.wordAt = readAt
-		for _, e := range l.targets { // what others had heard before is in the list, if it is so
-			e.cut = false
+// Heartbeat renews the lease by a heartbeat that was read at readAt on the open watch.
+func (l *Lease) Heartbeat(now, readAt float64) (changed bool) {
+	if readAt > l.confirmedAt {
+		l.confirmedAt = readAt
+		for _, e := range l.entries { // the watch would have reported a removal that other schedulers received before
+			e.removed = false
 		}
 	}
 	return l.Review(now)
 }
 
-// EndBy has the lease end at a time at the latest, unless a younger word comes: what was told before counts no longer.
-func (l *Lease) EndBy(now, until float64) (changed bool) {
-	l.wordAt = min(l.wordAt, until-l.watched)
-	for _, e := range l.targets {
-		e.confirmedAt = min(e.confirmedAt, until-l.watched)
+// LimitTo shortens the lease so that the confirmations received so far expire at until at the latest. It never extends the
+// lease. A later confirmation renews the lease as usual.
+func (l *Lease) LimitTo(now, until float64) (changed bool) {
+	l.confirmedAt = min(l.confirmedAt, until-l.watchedDuration)
+	for _, e := range l.entries {
+		e.confirmedAt = min(e.confirmedAt, until-l.watchedDuration)
 	}
 	return l.Review(now)
 }
 
-// WatchLost tells that a call to discovery failed, or that the watch has ended.
-func (l *Lease) WatchLost(now float64) (changed bool) {
+// WatchEnded records that a request to discovery failed or that the watch ended.
+func (l *Lease) WatchEnded(now float64) (changed bool) {
 	l.watching = false
 	return l.Review(now)
 }
 
-// lasts is for how long a word holds now.
-func (l *Lease) lasts() float64 {
+// duration returns how long a confirmation is valid now.
+func (l *Lease) duration() float64 {
 	if l.watching {
-		return l.watched
+		return l.watchedDuration
 	}
-	return l.apart
+	return l.unwatchedDuration
 }
 
-// Watching says whether a watch is open.
+// Watching reports whether a watch is open and has received its first list.
 func (l *Lease) Watching() bool { return l.watching }
 
-// Probed tells of a target's answer to a probe. While a watch is open the list decides.
-func (l *Lease) Probed(now float64, target string, answer Answer) (changed bool) {
-	e := l.targets[target]
-	if e == nil || l.watching || answer == Silent {
+// Probed records the result of a probe. It has no effect while a watch is open, since the list decides then.
+func (l *Lease) Probed(now float64, target string, status ProbeStatus) (changed bool) {
+	e := l.entries[target]
+	if e == nil || l.watching || status == NoResponse {
 		return false
 	}
-	e.notReady = answer == NotReady
+	e.notReady = status == NotReady
 	return l.Review(now)
 }
 
-// PassedOn tells of discovery's word at a time, or later, that another scheduler has passed on. One that is older than the
-// own says nothing new.
-func (l *Lease) PassedOn(now, wordAt float64, a *gossip.ListAnswer) (changed bool) {
+// ConfirmByPeer applies a confirmation by discovery that another scheduler forwarded. The confirmation was valid at
+// confirmedAt or later. One that is older than the own confirmation has no effect.
+func (l *Lease) ConfirmByPeer(now, confirmedAt float64, a *gossip.ListAnswer) (changed bool) {
 	switch {
 	case !a.Except:
 		for _, k := range a.Keys {
-			if e := l.byKey[k]; e != nil && wordAt > max(l.wordAt, e.confirmedAt) {
-				e.confirmedAt, e.cut = wordAt, false
+			if e := l.entryByKey[k]; e != nil && confirmedAt > max(l.confirmedAt, e.confirmedAt) {
+				e.confirmedAt, e.removed = confirmedAt, false
 			}
 		}
-	case a.Digest == l.digest && wordAt > l.wordAt:
-		l.wordAt = wordAt
-		for _, e := range l.byKey {
-			e.cut = e.cut && e.confirmedAt > wordAt
+	case a.Digest == l.digest && confirmedAt > l.confirmedAt:
+		l.confirmedAt = confirmedAt
+		for _, e := range l.entryByKey {
+			e.removed = e.removed && e.confirmedAt > confirmedAt
 		}
 		for _, k := range a.Keys {
-			if e := l.byKey[k]; e != nil && e.confirmedAt <= wordAt {
-				e.cut = true
+			if e := l.entryByKey[k]; e != nil && e.confirmedAt <= confirmedAt {
+				e.removed = true
 			}
 		}
 	}
 	return l.Review(now)
 }
 
-// answer says which targets serve, to a scheduler of some place on the ring that holds the list of a digest.
-func (l *Lease) answer(digest uint64, place float64) (except bool, keys []gossip.Key) {
-	held := l.keys
-	known := digest == l.digest
-	for i := len(l.past) - 1; i >= 0 && !known; i-- {
-		if known = l.past[i].digest == digest; known {
-			held = l.past[i].keys
+// servingKeys returns which targets serve, for a scheduler at a position on the ring that uses the list of the given digest.
+// If that list is known and the difference is small enough for a response, excluding is true and keys are its targets that no
+// longer serve. Otherwise, keys are the serving targets nearest to the position.
+func (l *Lease) servingKeys(digest uint64, position float64) (excluding bool, keys []gossip.Key) {
+	keysOfList := l.sortedKeys
+	found := digest == l.digest
+	for i := len(l.previousLists) - 1; i >= 0 && !found; i-- {
+		if found = l.previousLists[i].digest == digest; found {
+			keysOfList = l.previousLists[i].keys
 		}
 	}
-	if known {
-		for _, k := range held {
-			if e := l.byKey[k]; e == nil || e.cut {
+	if found {
+		for _, k := range keysOfList {
+			if e := l.entryByKey[k]; e == nil || e.removed {
 				keys = append(keys, k)
 			}
 		}
 	}
-	if known && len(keys) <= gossip.MaxKeys {
+	if found && len(keys) <= gossip.MaxKeys {
 		return true, keys
 	}
-	return false, l.near(place)
+	return false, l.nearestKeys(position)
 }
 
-// Review takes the time into account. It is to be called at Next at the latest.
+// Review updates the state to the current time. The caller must call it at Next at the latest.
 func (l *Lease) Review(now float64) (changed bool) {
 	l.valid = now < l.Until()
 	l.lapsed = !l.valid
-	for _, e := range l.targets {
-		was := e.withheld
-		l.lapsed = l.lapsed && now >= e.confirmedAt+l.lasts()
+	for _, e := range l.entries {
+		wasWithheld := e.withheld
+		l.lapsed = l.lapsed && now >= e.confirmedAt+l.duration()
 		e.withheld = now >= l.maySendUntil(e)
-		changed = changed || was != e.withheld
+		changed = changed || wasWithheld != e.withheld
 	}
 	return changed
 }
 
-// Next is when the next of what holds now will have run out; infinite if nothing does.
+// Next returns when the next valid confirmation expires; infinite if none is valid.
 func (l *Lease) Next(now float64) float64 {
 	next := math.Inf(1)
 	if now < l.Until() {
 		next = l.Until()
 	}
-	for _, e := range l.targets {
+	for _, e := range l.entries {
 		if until := l.maySendUntil(e); now < until {
 			next = min(next, until)
 		}
@@ -227,55 +235,55 @@
 	return next
 }
 
-// Valid says whether the lease on the whole list had not run out when it was last reviewed.
+// Valid reports whether the lease on the whole list was valid at the last review.
 func (l *Lease) Valid() bool { return l.valid }
 
-// Lapsed says whether neither the list nor any target of it was confirmed lately, as of the last review.
+// Lapsed reports whether no confirmation was valid at the last review, neither of the list nor of any single target.
 func (l *Lease) Lapsed() bool { return l.lapsed }
 
-// Until is the end of the lease on the whole list.
-func (l *Lease) Until() float64 { return l.wordAt + l.lasts() }
+// Until returns the end of the lease on the whole list.
+func (l *Lease) Until() float64 { return l.confirmedAt + l.duration() }
 
-// Age is how old the youngest word on the whole list is.
-func (l *Lease) Age(now float64) float64 { return now - l.wordAt }
+// Age returns the age of the latest confirmation of the whole list.
+func (l *Lease) Age(now float64) float64 { return now - l.confirmedAt }
 
-// MaySendUntil is until when an attempt may leave for a target. It holds without a review, so that a caller that stood
-// still finds out.
+// MaySendUntil returns the time by which an attempt at a target must be sent. The result does not depend on the last review,
+// so it is correct after a pause of the caller.
 func (l *Lease) MaySendUntil(target string) float64 {
-	if e := l.targets[target]; e != nil {
+	if e := l.entries[target]; e != nil {
 		return l.maySendUntil(e)
 	}
 	return never
 }
 
 func (l *Lease) maySendUntil(e *entry) float64 {
-	if e.notReady || e.cut {
+	if e.notReady || e.removed {
 		return never
 	}
-	return max(l.wordAt, e.confirmedAt) + l.lasts()
+	return max(l.confirmedAt, e.confirmedAt) + l.duration()
 }
 
-// Withheld says whether nothing may be sent to a target, as of the last review.
+// Withheld reports whether a target must not be sent to, as of the last review.
 func (l *Lease) Withheld(target string) bool {
-	e := l.targets[target]
+	e := l.entries[target]
 	return e == nil || e.withheld
 }
 
-// near returns the keys of the targets that serve nearest to a place on the ring of them, from 0 to 1: as many as an answer
-// holds.
-func (l *Lease) near(place float64) []gossip.Key {
-	names := make([]string, 0, len(l.targets))
-	for name, e := range l.targets {
-		if !e.cut {
+// nearestKeys returns the keys of the serving targets nearest to a position on their ring, from 0 to 1. It returns as many as
+// fit into a response.
+func (l *Lease) nearestKeys(position float64) []gossip.Key {
+	names := make([]string, 0, len(l.entries))
+	for name, e := range l.entries {
+		if !e.removed {
 			names = append(names, name)
 		}
 	}
 	slices.Sort(names)
 	n := len(names)
-	first, many := int(place*float64(n))-gossip.MaxKeys/2, min(gossip.MaxKeys, n)
-	keys := make([]gossip.Key, 0, many)
-	for i := range many {
-		keys = append(keys, l.targets[names[((first+i)%n+n)%n]].key)
+	first, count := int(position*float64(n))-gossip.MaxKeys/2, min(gossip.MaxKeys, n)
+	keys := make([]gossip.Key, 0, count)
+	for i := range count {
+		keys = append(keys, l.entries[names[((first+i)%n+n)%n]].key)
 	}
 	return keys
 }
--- a/internal/freshness/peers.go
+++ b/internal/freshness/peers.go
@@ -10,103 +10,106 @@
 	"cottonwell/internal/gossip"
 )
 
-// Peers has schedulers that discovery does not answer ask others for the word that those have of it.
+// Peers exchanges confirmations of the list with other schedulers. A scheduler that gets no response from discovery queries
+// others for a younger confirmation than its own.
 //
-// A question carries the time at which it left, on the asker's clock, and the answer repeats it beside the age of the word
-// that it passes on. So the asker knows a time on its own clock at which that word was surely true, however long
-// either datagram was on its way and whatever the other's clock says: the time of the question less the age. A word that was
-// passed on may be passed on again, as its age goes with it. Nothing rests on datagrams that arrive: without an answer the
-// lease runs out.
+// A query carries its sending time on the querier's clock. The response repeats that time and adds the age of the forwarded
+// confirmation. The querier dates the confirmation to the time of the query minus the age. The confirmation was valid at that
+// time on the querier's clock, whatever the delay of either datagram and whatever the other clock. A forwarded
+// confirmation can be forwarded again, since its age is forwarded with it. Lost datagrams are safe: without a response the
+// lease expires.
 type Peers struct {
-	cfg     PeersConfig
-	lease   *Lease
-	rng     *rand.Rand
-	process uint32
-	askAt   float64
-	asked   map[int]question // by scheduler: its last question, while there was nothing better to answer
+	cfg            PeersConfig
+	lease          *Lease
+	rng            *rand.Rand
+	process        uint32               // random identity of this process, repeated in responses to its queries
+	nextQueryAt    float64              // earliest time of the next query
+	pendingQueries map[int]pendingQuery // by scheduler: its last query that could not be answered yet
 }
 
-// question is one that could not be answered when it came.
-type question struct {
+// pendingQuery is a query for which there was no younger confirmation when it was received.
+type pendingQuery struct {
 	gossip.ListQuestion
-	cameAt float64
+	receivedAt float64
 }
 
-// PeersConfig sets Peers up.
+// PeersConfig configures Peers.
 type PeersConfig struct {
-	Self, Fleet int // this scheduler's number and how many there are
+	Self, Fleet int // this scheduler's number, from 0, and the number of schedulers
 	Seed        uint64
-	// AskEvery is the pause between two questions, in milliseconds; up to half as much is added at random.
-	AskEvery float64
-	// AskAt is the age of the own word from which on others are asked while no watch is open, and SilentAt while one is, in
-	// milliseconds.
-	AskAt, SilentAt float64
-	// AskMany is how many schedulers are asked at once.
-	AskMany int
-	// Younger is by how much a word has to be younger than the asker's to be worth an answer, in milliseconds.
-	Younger float64
-	// KeepFor is for how long a question is kept that could not be answered, in milliseconds.
-	KeepFor float64
+	// QueryIntervalMS is the minimum pause between two queries, in milliseconds. Up to half of it is added at random.
+	QueryIntervalMS float64
+	// UnwatchedQueryAgeMS is the age of the own confirmation from which others are queried while no watch is open, in
+	// milliseconds. WatchedQueryAgeMS is the same while a watch is open.
+	UnwatchedQueryAgeMS, WatchedQueryAgeMS float64
+	// PeersPerQuery is the number of schedulers that receive a query.
+	PeersPerQuery int
+	// MinAgeGainMS is how much younger than the querier's a confirmation must be to be sent, in milliseconds.
+	MinAgeGainMS float64
+	// KeepQueryMS is how long a query is kept that could not be answered, in milliseconds.
+	KeepQueryMS float64
 }
 
-// Message is a datagram to send.
+// Message is a datagram to send to the schedulers of the given numbers.
 type Message struct {
 	To  []int
 	Raw string
 }
 
-// NewPeers returns the exchange about a lease with the other schedulers, or an error that says what is impossible. It asks
-// for the first time after a pause, as discovery usually answers before.
+// NewPeers returns the exchange of confirmations for a lease, or an error if the configuration is invalid. The first query
+// is due after half a query interval, since discovery usually responds before.
 func NewPeers(now float64, cfg PeersConfig, lease *Lease) (*Peers, error) {
 	if cfg.Fleet < 2 || cfg.Self < 0 || cfg.Self >= cfg.Fleet {
-		return nil, fmt.Errorf("freshness: scheduler %d of %d", cfg.Self, cfg.Fleet)
+		return nil, fmt.Errorf("freshness: invalid scheduler number %d in a fleet of %d", cfg.Self, cfg.Fleet)
 	}
-	if !(cfg.AskEvery > 0) || cfg.AskMany < 1 || !(cfg.Younger > 0) {
-		return nil, fmt.Errorf("freshness: %d schedulers asked each %g ms for a word younger by %g ms", cfg.AskMany, cfg.AskEvery, cfg.Younger)
+	if !(cfg.QueryIntervalMS > 0) || cfg.PeersPerQuery < 1 || !(cfg.MinAgeGainMS > 0) {
+		return nil, fmt.Errorf("freshness: invalid query settings: %d peers per query, interval %g ms, minimum age gain %g ms", cfg.PeersPerQuery, cfg.QueryIntervalMS, cfg.MinAgeGainMS)
 	}
 	rng := rand.New(rand.NewPCG(cfg.Seed, 0x11575))
-	return &Peers{cfg: cfg, lease: lease, rng: rng, process: rng.Uint32(), askAt: now + cfg.AskEvery/2, asked: map[int]question{}}, nil
+	return &Peers{cfg: cfg, lease: lease, rng: rng, process: rng.Uint32(), nextQueryAt: now + cfg.QueryIntervalMS/2, pendingQueries: map[int]pendingQuery{}}, nil
 }
 
-// Due asks others if it is time to. Call it after each event that concerns the lease, and at Next.
-func (p *Peers) Due(now float64) []Message {
-	if now < max(p.askAt, p.wantsAt()) {
+// DueQueries returns a query to other schedulers if one is due. The caller calls it after each event of the lease and at
+// Next.
+func (p *Peers) DueQueries(now float64) []Message {
+	if now < max(p.nextQueryAt, p.queryFrom()) {
 		return nil
 	}
-	p.askAt = now + p.cfg.AskEvery*(1+0.5*p.rng.Float64())
+	p.nextQueryAt = now + p.cfg.QueryIntervalMS*(1+0.5*p.rng.Float64())
 	q := gossip.ListQuestion{Process: p.process, AskedAt: micros(now), Age: p.lease.Age(now), Digest: p.lease.digest}
-	return []Message{{To: p.draw(), Raw: string(q.Append(nil))}}
+	return []Message{{To: p.choosePeers(), Raw: string(q.Append(nil))}}
 }
 
-// Next is when Due has to be called at the latest.
+// Next returns the time by which DueQueries must be called.
 func (p *Peers) Next(now float64) float64 {
-	return max(now, p.askAt, p.wantsAt())
+	return max(now, p.nextQueryAt, p.queryFrom())
 }
 
-// wantsAt is when the own word is old enough to ask for a younger one.
-func (p *Peers) wantsAt() float64 {
+// queryFrom returns the time from which the own confirmation is old enough for a query.
+func (p *Peers) queryFrom() float64 {
 	if p.lease.Watching() {
-		return p.lease.wordAt + p.cfg.SilentAt
+		return p.lease.confirmedAt + p.cfg.WatchedQueryAgeMS
 	}
-	return p.lease.wordAt + p.cfg.AskAt
+	return p.lease.confirmedAt + p.cfg.UnwatchedQueryAgeMS
 }
 
-// draw picks other schedulers, one of them perhaps twice.
-func (p *Peers) draw() []int {
-	to := make([]int, 0, p.cfg.AskMany)
-	for range min(p.cfg.AskMany, p.cfg.Fleet-1) {
-		n := p.rng.IntN(p.cfg.Fleet - 1)
-		if n >= p.cfg.Self {
-			n++
+// choosePeers selects other schedulers at random. A scheduler can be selected more than once.
+func (p *Peers) choosePeers() []int {
+	to := make([]int, 0, p.cfg.PeersPerQuery)
+	for range min(p.cfg.PeersPerQuery, p.cfg.Fleet-1) {
+		peer := p.rng.IntN(p.cfg.Fleet - 1)
+		if peer >= p.cfg.Self {
+			peer++
 		}
-		to = append(to, n)
+		to = append(to, peer)
 	}
 	return to
 }
 
-// Heard takes a datagram in that IsAboutLists. changed says whether any target is withheld or released by it.
-func (p *Peers) Heard(now float64, who int, raw string) (out []Message, changed bool, err error) {
-	if who < 0 || who >= p.cfg.Fleet || who == p.cfg.Self {
+// Receive handles a datagram for which gossip.IsAboutLists is true. It returns the datagrams to send in response. changed
+// reports whether the withheld state of any target changed.
+func (p *Peers) Receive(now float64, sender int, raw string) (out []Message, changed bool, err error) {
+	if sender < 0 || sender >= p.cfg.Fleet || sender == p.cfg.Self {
 		return nil, false, gossip.ErrForm
 	}
 	q, a, err := gossip.ParseList(raw)
@@ -114,53 +117,55 @@
 	case err != nil:
 		return nil, false, err
 	case a != nil:
-		changed = p.answered(now, a)
-		return p.Renewed(now), changed, nil
+		changed = p.receiveResponse(now, a)
+		return p.DueResponses(now), changed, nil
 	}
-	if m, ok := p.answer(now, who, q); ok {
+	if m, ok := p.respond(now, sender, q); ok {
 		return []Message{m}, false, nil
 	}
-	p.asked[who] = question{*q, now}
+	p.pendingQueries[sender] = pendingQuery{*q, now}
 	return nil, false, nil
 }
 
-// answered takes an answer in. One to another process of the same name, or to a question that never was, says nothing.
-func (p *Peers) answered(now float64, a *gossip.ListAnswer) (changed bool) {
-	askedAt := float64(a.AskedAt) / 1000
-	if a.Process != p.process || a.Age >= gossip.MaxAge || askedAt > now {
+// receiveResponse handles a response. It ignores one to another process of the same scheduler, one whose query time is in the
+// future, and one whose age has reached gossip.MaxAge, which also represents all longer ages.
+func (p *Peers) receiveResponse(now float64, a *gossip.ListAnswer) (changed bool) {
+	queriedAt := float64(a.AskedAt) / 1000
+	if a.Process != p.process || a.Age >= gossip.MaxAge || queriedAt > now {
 		return false
 	}
-	return p.lease.PassedOn(now, askedAt-a.Age, a)
+	return p.lease.ConfirmByPeer(now, queriedAt-a.Age, a)
 }
 
-// Renewed answers the questions that waited for a younger word. Call it after each renewal of the lease.
-func (p *Peers) Renewed(now float64) (out []Message) {
-	for _, who := range slices.Sorted(maps.Keys(p.asked)) {
-		q := p.asked[who]
-		if now-q.cameAt > p.cfg.KeepFor {
-			delete(p.asked, who)
+// DueResponses returns responses to the pending queries that can be answered now. The caller calls it after each renewal of
+// the lease.
+func (p *Peers) DueResponses(now float64) (out []Message) {
+	for _, querier := range slices.Sorted(maps.Keys(p.pendingQueries)) {
+		q := p.pendingQueries[querier]
+		if now-q.receivedAt > p.cfg.KeepQueryMS {
+			delete(p.pendingQueries, querier)
 			continue
 		}
-		waited := q.ListQuestion
-		waited.Age += now - q.cameAt
-		if m, ok := p.answer(now, who, &waited); ok {
+		aged := q.ListQuestion
+		aged.Age += now - q.receivedAt
+		if m, ok := p.respond(now, querier, &aged); ok {
 			out = append(out, m)
-			delete(p.asked, who)
+			delete(p.pendingQueries, querier)
 		}
 	}
 	return out
 }
 
-// answer is the answer to a question, if the own word is younger by enough.
-func (p *Peers) answer(now float64, who int, q *gossip.ListQuestion) (Message, bool) {
+// respond returns the response to a query. It returns false if the own confirmation is not younger by MinAgeGainMS.
+func (p *Peers) respond(now float64, querier int, q *gossip.ListQuestion) (Message, bool) {
 	age := p.lease.Age(now)
-	if !p.lease.Valid() || age+p.cfg.Younger > q.Age {
+	if !p.lease.Valid() || age+p.cfg.MinAgeGainMS > q.Age {
 		return Message{}, false
 	}
 	a := gossip.ListAnswer{Process: q.Process, AskedAt: q.AskedAt, Age: age, Digest: q.Digest}
-	a.Except, a.Keys = p.lease.answer(q.Digest, (float64(who)+0.5)/float64(p.cfg.Fleet))
-	return Message{To: []int{who}, Raw: string(a.Append(nil))}, true
+	a.Except, a.Keys = p.lease.servingKeys(q.Digest, (float64(querier)+0.5)/float64(p.cfg.Fleet))
+	return Message{To: []int{querier}, Raw: string(a.Append(nil))}, true
 }
 
-// micros is a time in whole microseconds, not after it.
+// micros converts milliseconds to whole microseconds, rounded down.
 func micros(ms float64) uint64 { return uint64(math.Floor(ms * 1000)) }
