--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,5 +1,8 @@
-// Package clock is the one source of time: milliseconds since the Unix epoch as
-// a floating-point number. Tests set it by hand.
+// Package clock is the source of time for all other packages. A time is a float64 in milliseconds since the Unix epoch.
+//
+// Code that needs the time or an alarm takes a Clock. System is the machine's clock. Manual is a clock for tests, which
+// moves only when the test advances it. The package does not keep timers for callers: an Alarm signals a channel once, at
+// the time it was last set to.
 package clock
 
 import (
@@ -9,35 +12,35 @@
 	"time"
 )
 
-// Clock tells the time and rings alarms.
+// Clock provides the current time and alarms.
 type Clock interface {
-	// Now is the present time in milliseconds since the Unix epoch.
+	// Now returns the current time in milliseconds since the Unix epoch.
 	Now() float64
 	// NewAlarm returns an alarm that is not set.
 	NewAlarm() Alarm
-	// Deadline is the moment, for a socket, that lies so many milliseconds ahead.
-	// A clock set by hand gives none: no test may hang on the machine's speed.
+	// Deadline returns the time for a socket deadline that is after milliseconds from now. A manual clock returns the zero
+	// time, which sets no deadline, so that tests do not depend on the speed of the machine.
 	Deadline(after float64) time.Time
 }
 
-// Alarm rings once at the time it was last set to.
+// Alarm sends once on C at the time it was last set to, in milliseconds since the Unix epoch.
 type Alarm interface {
 	C() <-chan struct{}
 	Set(at float64)
 	Stop()
 }
 
-// Duration turns milliseconds into the decision module's unit. This pair of functions
-// is the only place where one becomes the other.
+// Duration converts milliseconds to a time.Duration, the unit of the decision module. All conversions between the two use
+// Duration and Millis.
 func Duration(ms float64) time.Duration {
 	return time.Duration(math.Round(ms * float64(time.Millisecond)))
 }
 
-// Millis turns the decision module's unit into milliseconds.
+// Millis converts a time.Duration to milliseconds.
 func Millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// System is the machine's clock. It reads the wall clock once and goes on by the
-// monotonic clock, so that a step of the wall clock moves no deadline.
+// System is the machine's clock. It reads the wall clock once and then adds the monotonic clock, so that a step of the wall
+// clock does not move any deadline.
 type System struct{ start time.Time }
 
 // NewSystem returns the machine's clock.
@@ -54,7 +57,7 @@
 // NewAlarm implements Clock.
 func (s *System) NewAlarm() Alarm {
 	a := &systemAlarm{clock: s, c: make(chan struct{}, 1)}
-	a.timer = time.AfterFunc(math.MaxInt64, func() { ring(a.c) })
+	a.timer = time.AfterFunc(math.MaxInt64, func() { signal(a.c) })
 	return a
 }
 
@@ -68,21 +71,21 @@
 func (a *systemAlarm) Set(at float64)     { a.timer.Reset(max(0, Duration(at-a.clock.Now()))) }
 func (a *systemAlarm) Stop()              { a.timer.Stop() }
 
-func ring(c chan struct{}) {
+func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
-	default: // it rings already
+	default: // a signal is pending already
 	}
 }
 
-// Manual is a clock that moves only when told to.
+// Manual is a clock that moves only by Advance. It is safe for concurrent use.
 type Manual struct {
 	mu     sync.Mutex
 	now    float64
 	alarms []*manualAlarm
 }
 
-// NewManual returns a clock that stands at the given time.
+// NewManual returns a clock that is set to the given time, in milliseconds.
 func NewManual(now float64) *Manual { return &Manual{now: now} }
 
 // Now implements Clock.
@@ -92,10 +95,10 @@
 	return m.now
 }
 
-// Deadline implements Clock: never.
+// Deadline implements Clock. It returns the zero time.
 func (m *Manual) Deadline(float64) time.Time { return time.Time{} }
 
-// Advance moves the clock forward and rings what has come due.
+// Advance moves the clock forward by ms milliseconds and signals the alarms that are due.
 func (m *Manual) Advance(ms float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -114,7 +117,7 @@
 	return a
 }
 
-// RingsAt says whether an alarm is set for a time that is ahead.
+// RingsAt reports whether an alarm is set for the given time and has not been signalled yet.
 func (m *Manual) RingsAt(at float64) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -145,6 +148,6 @@
 func (a *manualAlarm) check() {
 	if a.clock.now >= a.at {
 		a.at = math.Inf(1)
-		ring(a.c)
+		signal(a.c)
 	}
 }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestDurationsSurviveTheFloat(t *testing.T) {
+func TestDurationRoundTrip(t *testing.T) {
 	for _, d := range []time.Duration{0, time.Microsecond, 5 * time.Second, 1_796_122_800 * time.Second} {
 		require.InDelta(t, float64(d), float64(Duration(Millis(d))), 1000, "%v", d)
 	}
@@ -19,14 +19,14 @@
 	a.Set(150)
 	require.True(t, c.RingsAt(150))
 	past.Set(50)
-	<-past.C() // already due
+	<-past.C() // set to a time in the past
 	c.Advance(49)
 	require.Empty(t, a.C())
 	c.Advance(1)
 	<-a.C()
 	require.False(t, c.RingsAt(150))
 	c.Advance(100)
-	require.Empty(t, a.C(), "an alarm rings once")
+	require.Empty(t, a.C(), "an alarm signals once")
 }
 
 func TestSystemAlarmRings(t *testing.T) {
