--- a/internal/buffer/buffer.go
+++ b/internal/buffer/buffer.go
@@ -1,5 +1,8 @@
-// Package buffer holds bytes in buffers of one size that are used again from a pool.
-// A body is a chain of them.
+// Package buffer stores bytes, such as the bodies of requests, in fixed-size buffers that are reused.
+//
+// A Pool provides the buffers. Pool.Read and Pool.FromBytes copy up to MaxBody bytes into a Body, which is a chain of
+// buffers with a reference count. When the last holder releases the Body, its buffers return to the pool. The package does
+// not interpret the bytes.
 package buffer
 
 import (
@@ -11,16 +14,16 @@
 )
 
 const (
-	// Size is the size of every buffer.
+	// Size is the size of every buffer in bytes.
 	Size = 8 << 10
-	// MaxBody is the longest body that any front takes.
+	// MaxBody is the maximum length of a body in bytes, for every listener.
 	MaxBody = 64 << 10
 )
 
-// ErrTooLarge says that a body is longer than MaxBody.
+// ErrTooLarge is returned for a body that is longer than MaxBody.
 var ErrTooLarge = errors.New("body is longer than 64 KiB")
 
-// Pool hands out buffers.
+// Pool is a pool of reusable buffers.
 type Pool struct {
 	free sync.Pool
 }
@@ -30,33 +33,33 @@
 	return &Pool{free: sync.Pool{New: func() any { return new([Size]byte) }}}
 }
 
-// Get returns a buffer, its content undefined.
+// Get returns a buffer with undefined content.
 func (p *Pool) Get() *[Size]byte { return p.free.Get().(*[Size]byte) }
 
-// Put takes a buffer back; nobody may hold on to it.
+// Put returns a buffer to the pool. The caller must not use it afterwards.
 func (p *Pool) Put(b *[Size]byte) { p.free.Put(b) }
 
-// Body is a chain of buffers that several holders share. Its first holder has it from
-// Read or FromBytes; each further one calls Retain, and every holder calls Release once.
+// Body is a chain of buffers that several holders share. Read and FromBytes return it to its first holder. Each further
+// holder calls Retain, and every holder calls Release once.
 type Body struct {
-	pool   *Pool
-	chunks []*[Size]byte
-	n      int
-	refs   atomic.Int32
+	pool     *Pool
+	chunks   []*[Size]byte
+	length   int
+	refCount atomic.Int32
 }
 
-// Read takes the whole of r into a body, or returns ErrTooLarge.
+// Read reads all of r into a body. It returns ErrTooLarge if r is longer than MaxBody.
 func (p *Pool) Read(r io.Reader) (*Body, error) {
 	b := &Body{pool: p}
-	b.refs.Store(1)
+	b.refCount.Store(1)
 	for {
-		if b.n == len(b.chunks)*Size {
+		if b.length == len(b.chunks)*Size {
 			b.chunks = append(b.chunks, p.Get())
 		}
-		m, err := r.Read(b.chunks[b.n/Size][b.n%Size:])
-		b.n += m
+		count, err := r.Read(b.chunks[b.length/Size][b.length%Size:])
+		b.length += count
 		switch {
-		case b.n > MaxBody:
+		case b.length > MaxBody:
 			b.Release()
 			return nil, ErrTooLarge
 		case errors.Is(err, io.EOF):
@@ -71,35 +74,35 @@
 // FromBytes copies data into a body.
 func (p *Pool) FromBytes(data []byte) (*Body, error) { return p.Read(bytes.NewReader(data)) }
 
-// Len is the number of bytes.
-func (b *Body) Len() int { return b.n }
+// Len returns the length of the body in bytes.
+func (b *Body) Len() int { return b.length }
 
 // Retain adds a holder.
-func (b *Body) Retain() { b.refs.Add(1) }
+func (b *Body) Retain() { b.refCount.Add(1) }
 
-// Release ends one holder's use; the buffers go back after the last.
+// Release ends one holder's use. The last Release returns the buffers to the pool.
 func (b *Body) Release() {
-	if b.refs.Add(-1) != 0 {
+	if b.refCount.Add(-1) != 0 {
 		return
 	}
 	for _, c := range b.chunks {
 		b.pool.Put(c)
 	}
-	b.chunks, b.n = nil, 0
+	b.chunks, b.length = nil, 0
 }
 
-// Slices returns the bytes in order, good until Release.
+// Slices returns the bytes in order. The slices are valid until the holder calls Release.
 func (b *Body) Slices() [][]byte {
 	var out [][]byte
-	for i, left := 0, b.n; left > 0; i++ {
-		m := min(left, Size)
-		out = append(out, b.chunks[i][:m])
-		left -= m
+	for i, remaining := 0, b.length; remaining > 0; i++ {
+		chunkLength := min(remaining, Size)
+		out = append(out, b.chunks[i][:chunkLength])
+		remaining -= chunkLength
 	}
 	return out
 }
 
-// Reader reads the bytes from the start.
+// Reader returns a reader of the bytes from the start.
 func (b *Body) Reader() io.Reader {
 	var parts []io.Reader
 	for _, s := range b.Slices() {
