--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,5 +1,8 @@
-// Package invariant states what must hold. A debug build (-tags debug) stops where
-// it does not; a release build counts it and goes on.
+// Package invariant checks conditions that must always be true.
+//
+// The caller passes the condition, a name and a message to Set.Check. If the condition is false, a debug build (-tags debug)
+// panics with the message. A release build counts the violation by its name and continues. The package does not correct
+// the caller's state.
 package invariant
 
 import (
@@ -8,17 +11,17 @@
 	"sync"
 )
 
-// Set counts the broken invariants of one program. It may be used from any goroutine.
+// Set counts the violations of the invariants of one program. It is safe for concurrent use.
 type Set struct {
 	mu     sync.Mutex
 	counts map[string]int
 }
 
-// New returns a set in which nothing has been broken.
+// New returns a set without violations.
 func New() *Set { return &Set{counts: map[string]int{}} }
 
-// Check notes, under the given name, that something which must hold does not. It
-// returns ok, so that the caller can turn away from what it was about to do.
+// Check counts a violation under the given name if ok is false, or panics in a debug build. It returns ok, so that the caller
+// can skip the operation that the condition guards.
 func (s *Set) Check(ok bool, name, format string, args ...any) bool {
 	if ok {
 		return true
@@ -32,7 +35,7 @@
 	return false
 }
 
-// Counts returns how often each invariant was broken.
+// Counts returns the number of violations by name.
 func (s *Set) Counts() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestBrokenIsAssertedOrCounted(t *testing.T) {
+func TestBrokenInvariantPanicsOrIsCounted(t *testing.T) {
 	s := New()
 	require.True(t, s.Check(true, "fine", ""))
 	if debug {
