--- a/internal/vtime/vtime.go
+++ b/internal/vtime/vtime.go
@@ -1,40 +1,44 @@
-// Package vtime is virtual time: what is to happen, and when. Of two things at one time the one that
-// was asked for first goes first, so that the same program gives the same run.
+// Package vtime runs functions in virtual time, for simulations.
+//
+// The caller schedules functions on a Queue and calls Next in a loop. Next moves the time of the queue to the earliest
+// function and runs it. Functions that are scheduled for the same time run in the order in which they were scheduled, so a
+// simulation is deterministic. The package uses no goroutines and does not read a real clock.
 package vtime
 
 import "container/heap"
 
-// Queue holds what is still to happen. The zero value begins at time 0.
+// Queue is a queue of scheduled functions. The zero value is an empty queue at time 0. It is not safe for concurrent use.
 type Queue struct {
-	Now  float64 // ms
-	seq  uint64
-	todo items
+	Now     float64 // current virtual time in milliseconds
+	seq     uint64
+	pending items
 }
 
-// After has something happen so many milliseconds from now, and not before now.
-func (q *Queue) After(ms float64, do func()) { q.At(q.Now+max(0, ms), do) }
+// After schedules run for ms milliseconds after Now. A negative ms is treated as 0.
+func (q *Queue) After(ms float64, run func()) { q.At(q.Now+max(0, ms), run) }
 
-// At has something happen at a time.
-func (q *Queue) At(at float64, do func()) {
+// At schedules run for a time in milliseconds.
+func (q *Queue) At(at float64, run func()) {
 	q.seq++
-	heap.Push(&q.todo, item{at, q.seq, do})
+	heap.Push(&q.pending, item{at, q.seq, run})
 }
 
-// Next moves on to the next thing at or before end, and does it. It says whether there was one.
+// Next runs the earliest scheduled function if its time is not after end, and moves Now to that time. It reports whether a
+// function was run.
 func (q *Queue) Next(end float64) bool {
-	if len(q.todo) == 0 || q.todo[0].at > end {
+	if len(q.pending) == 0 || q.pending[0].at > end {
 		return false
 	}
-	x := heap.Pop(&q.todo).(item)
+	x := heap.Pop(&q.pending).(item)
 	q.Now = max(q.Now, x.at)
-	x.do()
+	x.run()
 	return true
 }
 
 type item struct {
 	at  float64
 	seq uint64
-	do  func()
+	run func()
 }
 
 type items []item
--- a/internal/vtime/vtime_test.go
+++ b/internal/vtime/vtime_test.go
@@ -6,15 +6,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestOrder(t *testing.T) {
+func TestRunOrder(t *testing.T) {
 	var q Queue
-	var got []string
-	say := func(s string) func() { return func() { got = append(got, s) } }
-	q.After(5, say("b"))
-	q.At(5, say("c"))
-	q.After(1, func() { say("a")(); q.After(-3, say("at once")); q.After(99, say("too late")) })
+	var order []string
+	record := func(s string) func() { return func() { order = append(order, s) } }
+	q.After(5, record("b"))
+	q.At(5, record("c"))
+	q.After(1, func() { record("a")(); q.After(-3, record("at once")); q.After(99, record("too late")) })
 	for q.Next(50) {
 	}
-	require.Equal(t, []string{"a", "at once", "b", "c"}, got)
+	require.Equal(t, []string{"a", "at once", "b", "c"}, order)
 	require.Equal(t, 5.0, q.Now)
 }
