--- a/internal/units/units.go
+++ b/internal/units/units.go
@@ -1,5 +1,6 @@
-// Package units reads the figures of settings files, which carry their units: times as
-// "250ms", shares as "40%". A figure without one is an error.
+// Package units provides the types of values in settings files, which include their unit: durations such as "250ms" and
+// shares such as "40%". The types implement encoding.TextUnmarshaler and encoding.TextMarshaler. A value without its unit is
+// an error. The package does not read files.
 package units
 
 import (
@@ -10,10 +11,10 @@
 	"time"
 )
 
-// Millis is a time in milliseconds.
+// Millis is a duration in milliseconds.
 type Millis float64
 
-// UnmarshalText reads a time with its unit, as time.ParseDuration does.
+// UnmarshalText parses a duration with its unit, in the format of time.ParseDuration. A negative duration is an error.
 func (m *Millis) UnmarshalText(text []byte) error {
 	d, err := time.ParseDuration(string(text))
 	if err != nil || d < 0 {
@@ -26,10 +27,10 @@
 	return nil
 }
 
-// Share is a part of one, 0 to 1.
+// Share is a fraction from 0 to 1.
 type Share float64
 
-// UnmarshalText reads a percentage with its sign.
+// UnmarshalText parses a percentage from 0% to 100%, with its percent sign.
 func (s *Share) UnmarshalText(text []byte) error {
 	n, ok := strings.CutSuffix(string(text), "%")
 	x, err := strconv.ParseFloat(n, 64)
@@ -40,12 +41,12 @@
 	return nil
 }
 
-// MarshalText writes a time as it is read.
+// MarshalText writes a duration in the format that UnmarshalText parses.
 func (m Millis) MarshalText() ([]byte, error) {
 	return []byte(strconv.FormatFloat(float64(m), 'f', -1, 64) + "ms"), nil
 }
 
-// MarshalText writes a share as it is read.
+// MarshalText writes a share in the format that UnmarshalText parses.
 func (s Share) MarshalText() ([]byte, error) {
 	return []byte(strconv.FormatFloat(100*float64(s), 'f', -1, 64) + "%"), nil
 }
--- a/internal/units/units_test.go
+++ b/internal/units/units_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestFiguresCarryTheirUnits(t *testing.T) {
+func TestValuesRequireUnits(t *testing.T) {
 	var m Millis
 	for text, want := range map[string]float64{"250ms": 250, "1.5s": 1500, "0s": 0, "80us": 0.08} {
 		require.NoError(t, m.UnmarshalText([]byte(text)))
