--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -85,11 +85,13 @@
 	listLease
 }
 
+// source is a Source with its current list of targets.
 type source struct {
 	Source
 	targets map[string]Target
 }
 
+// event is a message to Run's goroutine. Its apply method runs on that goroutine.
 type event interface{ apply(*Core) }
 
 // New returns a core that is not running yet, or an error if the settings are invalid.
@@ -174,7 +176,7 @@
 }
 
 // List passes a list of targets, or changes to it, from the named source.
-func (c *Core) List(from string, g Group) { c.post(listEvent{from, g}) }
+func (c *Core) List(sourceName string, g Group) { c.post(listEvent{sourceName, g}) }
 
 type listEvent struct {
 	source string
@@ -240,7 +242,7 @@
 }
 
 // Heard passes a message that was received from another scheduler, identified by its number in the settings.
-func (c *Core) Heard(who int, raw string) { c.post(peerMessageEvent{who, raw}) }
+func (c *Core) Heard(sender int, raw string) { c.post(peerMessageEvent{sender, raw}) }
 
 type peerMessageEvent struct {
 	sender int
@@ -291,7 +293,7 @@
 
 // Judge passes the examiner's verdict on a target for the whole fleet: nothing is sent to the target for a duration in
 // milliseconds, or it may be used again (0).
-func (c *Core) Judge(target string, lasts float64) { c.post(verdictEvent{target, lasts}) }
+func (c *Core) Judge(target string, duration float64) { c.post(verdictEvent{target, duration}) }
 
 type verdictEvent struct {
 	target   string
@@ -304,7 +306,9 @@
 
 // Share passes the part of each tenant's requests that is within its share. The parts apply for a duration in
 // milliseconds.
-func (c *Core) Share(parts map[string]float64, lasts float64) { c.post(sharesEvent{parts, lasts}) }
+func (c *Core) Share(parts map[string]float64, duration float64) {
+	c.post(sharesEvent{parts, duration})
+}
 
 type sharesEvent struct {
 	parts    map[string]float64
--- a/internal/core/leases.go
+++ b/internal/core/leases.go
@@ -80,7 +80,9 @@
 }
 
 // SignOfLife reports a heartbeat on the open watch of a source, and when it was read.
-func (c *Core) SignOfLife(from string, readAt float64) { c.post(heartbeatEvent{from, readAt}) }
+func (c *Core) SignOfLife(sourceName string, readAt float64) {
+	c.post(heartbeatEvent{sourceName, readAt})
+}
 
 type heartbeatEvent struct {
 	source string
@@ -96,7 +98,7 @@
 }
 
 // Moved reports that a source is polled at another address from now on.
-func (c *Core) Moved(from string) { c.post(discoveryMovedEvent{from}) }
+func (c *Core) Moved(sourceName string) { c.post(discoveryMovedEvent{sourceName}) }
 
 type discoveryMovedEvent struct{ source string }
 
@@ -158,6 +160,7 @@
 	}
 }
 
+// leaseTimerDue reviews the lease when its timer fires.
 func (c *Core) leaseTimerDue() {
 	c.leaseTimerAt = math.Inf(-1)
 	c.afterLeaseEvent(c.leasedSource, c.lease.Review(c.clock.Now()))
@@ -190,13 +193,13 @@
 func (c *Core) recordLapse() {
 	switch lapsed := c.lease.Lapsed(); {
 	case !lapsed && !math.IsInf(c.lapsedAt, 1):
-		after := c.clock.Now() - c.lapsedAt
-		c.stats.LapsedFor += after
+		lapsedMS := c.clock.Now() - c.lapsedAt
+		c.stats.LapsedFor += lapsedMS
 		c.lapsedAt = math.Inf(1)
 		if c.stats.Lapses == 0 {
 			close(c.listReady)
 		}
-		c.log.Info("lease on the list renewed", "lapsed_ms", after, "watching", c.lease.Watching())
+		c.log.Info("lease on the list renewed", "lapsed_ms", lapsedMS, "watching", c.lease.Watching())
 	case lapsed && math.IsInf(c.lapsedAt, 1):
 		c.stats.Lapses++
 		c.lapsedAt = c.clock.Now()
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -1,10 +1,10 @@
 // Package core runs the request flows of one scheduler, independently of any wire protocol.
 //
-// A flow is one client request from its acceptance until no attempt of it is outstanding. Listeners submit
-// requests with Core.TakeIn and receive progress and exactly one final response through the Listener interface. The
-// decision module (package decide) chooses the target of each attempt and decides about refusals, cancellations and
-// retries. Core carries these decisions out through the Transport of the target's Source. It enforces the rules that
-// apply to any decision, such as the limit on attempts and the repeat rules of a class.
+// A flow is one client request from its acceptance until it has its final response and no attempt of it is outstanding.
+// Listeners submit requests with Core.TakeIn. They receive progress and, unless the client left, exactly one final response
+// through the Listener interface. The decision module (package decide) chooses the target of each attempt and decides about
+// refusals, cancellations and retries. Core carries these decisions out through the Transport of the target's Source. It
+// enforces the rules that apply to any decision, such as the limit on attempts and the repeat rules of a class.
 //
 // A flow passes through these stages:
 //
