--- a/internal/net/target/close.go
+++ b/internal/net/target/close.go
@@ -2,23 +2,23 @@
 
 import "cottonwell/internal/net/httpio"
 
-// Why a connection to a target was closed.
+// Reasons for closing a connection to a target. The texts are labels in the log and the counters.
 const (
-	closedIdle      httpio.CloseReason = "idle"
-	closedStale     httpio.CloseReason = "closed or written to by the target while idle"
-	closedGone      httpio.CloseReason = "target gone or restarted"
-	closedPlace     httpio.CloseReason = "its socket is needed"
-	closedLast      httpio.CloseReason = "target closes"
-	closedAhead     httpio.CloseReason = "more than one answer"
-	closedBroken    httpio.CloseReason = "broken"
-	closedSpoilt    httpio.CloseReason = "spoilt answer"
-	closedSilent    httpio.CloseReason = "no answer in time"
-	closedGivenUp   httpio.CloseReason = "attempt given up"
-	closedUnwritten httpio.CloseReason = "request not written whole"
-	closedBody      httpio.CloseReason = "rest of the answer did not come"
+	closedIdle           httpio.CloseReason = "idle"
+	closedStale          httpio.CloseReason = "closed or written to by the target while idle"
+	closedTargetReplaced httpio.CloseReason = "target gone or restarted"
+	closedEvicted        httpio.CloseReason = "its socket is needed"
+	closedByTarget       httpio.CloseReason = "target closes"
+	closedExtraData      httpio.CloseReason = "more than one answer"
+	closedBroken         httpio.CloseReason = "broken"
+	closedMalformed      httpio.CloseReason = "spoilt answer"
+	closedTimeout        httpio.CloseReason = "no answer in time"
+	closedCancelled      httpio.CloseReason = "attempt given up"
+	closedWriteFailed    httpio.CloseReason = "request not written whole"
+	closedBodyIncomplete httpio.CloseReason = "rest of the answer did not come"
 )
 
-// discard closes a connection and gives its socket back.
+// discard closes a connection and returns its socket to the budget.
 func (t *Transport) discard(c *httpio.Conn, reason httpio.CloseReason) {
 	t.Counts.Closes.Note(reason)
 	t.Log.Debug("connection closed", "target", c.RemoteAddr(), "reason", reason)
@@ -26,10 +26,10 @@
 	t.Sockets.Give()
 }
 
-// whyBroken is the reason to close a connection on which an answer was awaited and an error came.
-func whyBroken(err error) httpio.CloseReason {
+// closeReasonFor returns the reason to close a connection on which waiting for a response ended in err.
+func closeReasonFor(err error) httpio.CloseReason {
 	if httpio.TimedOut(err) {
-		return closedSilent
+		return closedTimeout
 	}
 	return closedBroken
 }
--- a/internal/net/target/pool.go
+++ b/internal/net/target/pool.go
@@ -18,159 +18,159 @@
 )
 
 var (
-	errNoSocket = errors.New("the budget of sockets is spent")
+	errNoSocket = errors.New("socket budget exhausted")
 	errDial     = errors.New("connect")
 )
 
-// pool holds the idle connections to one target, the one used last on top.
+// pool is the list of idle connections to one target, in the order of their release.
 type pool struct {
 	mu   sync.Mutex
-	idle []idle
+	idle []idleConn
 }
 
-type idle struct {
-	conn  *httpio.Conn
-	since float64
+type idleConn struct {
+	conn      *httpio.Conn
+	idleSince float64
 }
 
-// retireShare is the share of the target's idle limit after which a connection is not
-// used again. The target closes it "at the latest" then, and a request that crosses the
-// closing ends as a reset, after which a purchase may not leave its pod.
+// retireShare is the share of the target's idle limit after which a connection is not reused. The target may close
+// the connection at any time up to that limit. A request that crosses the close ends as a reset, and a purchase
+// may then not move to another pod.
 const retireShare = 0.5
 
-// restLeast is how long a connection rests at least, in milliseconds, before it carries the next request. A target, or
-// what stands before it, may send a second answer some milliseconds after the first; read as the answer to the
-// next request it would say of that one what is not so, even that it never ran.
-const restLeast = 20.0
+// minIdleTime is the time in milliseconds that a connection stays idle before it carries the next request. A
+// target or an intermediary may send a second response some milliseconds after the first. Taken for the response
+// to the next request, it would report a wrong outcome, even that the request never ran.
+const minIdleTime = 20.0
 
-// fresh is the rest of a connection that has carried nothing yet.
-const fresh = -1.0
+// neverIdle is the idle time of a connection that has not carried a request yet.
+const neverIdle = -1.0
 
-// take returns a connection to the target, an idle one if there is one that has rested and still stands,
-// and how long it has rested.
-func (t *Transport) take(tg *target, address string) (c *httpio.Conn, rested float64, err error) {
-	t.retire(tg, t.rests.limit(t.IdleFor*retireShare), closedIdle)
+// acquire returns a connection to the target and its idle time in milliseconds. It prefers an idle connection that
+// is at least minIdleTime old and still usable, and dials otherwise.
+func (t *Transport) acquire(target *targetState, address string) (conn *httpio.Conn, idleTime float64, err error) {
+	t.closeIdle(target, t.idleStats.limit(t.IdleFor*retireShare), closedIdle)
 	for {
-		x, ok := tg.pool.last(t.Clock.Now() - restLeast)
+		x, ok := target.pool.takeLatest(t.Clock.Now() - minIdleTime)
 		if !ok {
 			break
 		}
-		if stands(x.conn) {
+		if usable(x.conn) {
 			t.Counts.Reused.Add(1)
-			return x.conn, max(0, t.Clock.Now()-x.since), nil
+			return x.conn, max(0, t.Clock.Now()-x.idleSince), nil
 		}
 		t.Counts.Retired.Add(1)
 		t.discard(x.conn, closedStale)
 	}
 	if !t.Sockets.TryTake() && !t.evict() {
-		return nil, fresh, errNoSocket
+		return nil, neverIdle, errNoSocket
 	}
 	t.Counts.Dialled.Add(1)
 	nc, err := net.DialTimeout("tcp", address, clock.Duration(t.DialFor))
 	if err != nil {
 		t.Sockets.Give()
-		return nil, fresh, fmt.Errorf("%w: %w", errDial, err)
+		return nil, neverIdle, fmt.Errorf("%w: %w", errDial, err)
 	}
-	return t.Stack.Wrap(nc), fresh, nil
+	return t.Stack.Wrap(nc), neverIdle, nil
 }
 
-// last takes out the connection that came last of those that have rested since a time.
-func (p *pool) last(since float64) (idle, bool) {
+// takeLatest removes and returns the connection released last among those released at idleBefore or earlier.
+func (p *pool) takeLatest(idleBefore float64) (idleConn, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for i := len(p.idle) - 1; i >= 0; i-- {
-		if x := p.idle[i]; x.since <= since {
+		if x := p.idle[i]; x.idleSince <= idleBefore {
 			p.idle = slices.Delete(p.idle, i, i+1)
 			return x, true
 		}
 	}
-	return idle{}, false
+	return idleConn{}, false
 }
 
-// settle reads what is left of an answer and puts its connection back.
-func (t *Transport) settle(tg *target, c *httpio.Conn, resp *http.Response) {
-	rest, err := c.ReadRest(resp, t.Clock.Deadline(bodyFor))
+// finishResponse reads the rest of a response and returns its connection to the pool.
+func (t *Transport) finishResponse(target *targetState, conn *httpio.Conn, resp *http.Response) {
+	rest, err := conn.ReadRest(resp, t.Clock.Deadline(bodyTimeout))
 	if err != nil {
-		t.discard(c, closedBody)
+		t.discard(conn, closedBodyIncomplete)
 		return
 	}
 	rest.Release()
-	t.put(tg, c, resp.Close)
+	t.release(target, conn, resp.Close)
 }
 
-// put puts a connection back, unless the target closes it or has sent more than it was asked for.
-func (t *Transport) put(tg *target, c *httpio.Conn, last bool) {
-	if reason := whyNotReused(c, last); reason != "" {
-		t.discard(c, reason)
+// release returns a connection to the pool, unless the target closes it or has sent more than the response.
+func (t *Transport) release(target *targetState, conn *httpio.Conn, closing bool) {
+	if reason := reasonNotReusable(conn, closing); reason != "" {
+		t.discard(conn, reason)
 		return
 	}
-	tg.pool.mu.Lock()
-	defer tg.pool.mu.Unlock()
-	tg.pool.idle = append(tg.pool.idle, idle{c, t.Clock.Now()})
+	target.pool.mu.Lock()
+	defer target.pool.mu.Unlock()
+	target.pool.idle = append(target.pool.idle, idleConn{conn, t.Clock.Now()})
 }
 
-// whyNotReused says why no further request may go on a connection; empty if one may.
-func whyNotReused(c *httpio.Conn, last bool) httpio.CloseReason {
+// reasonNotReusable returns why a connection can carry no further request, or "" if it can.
+func reasonNotReusable(conn *httpio.Conn, closing bool) httpio.CloseReason {
 	switch {
-	case last:
-		return closedLast
-	case c.Ahead():
-		return closedAhead
-	case c.SetDeadline(time.Time{}) != nil: // one that passes while it is idle would make it look dead
+	case closing:
+		return closedByTarget
+	case conn.Ahead():
+		return closedExtraData
+	case conn.SetDeadline(time.Time{}) != nil: // a deadline that expires while the connection is idle would make it look dead
 		return closedBroken
 	}
 	return ""
 }
 
-// retire closes connections that have been idle so long, the oldest of which are at the bottom.
-func (t *Transport) retire(tg *target, after float64, reason httpio.CloseReason) {
-	tg.pool.mu.Lock()
+// closeIdle closes the connections that have been idle for at least after milliseconds. The pool is in order of
+// release, so these come first.
+func (t *Transport) closeIdle(target *targetState, after float64, reason httpio.CloseReason) {
+	target.pool.mu.Lock()
 	n := 0
-	for n < len(tg.pool.idle) && t.Clock.Now()-tg.pool.idle[n].since >= after {
+	for n < len(target.pool.idle) && t.Clock.Now()-target.pool.idle[n].idleSince >= after {
 		n++
 	}
-	old := append([]idle(nil), tg.pool.idle[:n]...)
-	tg.pool.idle = append(tg.pool.idle[:0], tg.pool.idle[n:]...)
-	tg.pool.mu.Unlock()
-	for _, x := range old {
+	expired := append([]idleConn(nil), target.pool.idle[:n]...)
+	target.pool.idle = append(target.pool.idle[:0], target.pool.idle[n:]...)
+	target.pool.mu.Unlock()
+	for _, x := range expired {
 		t.Counts.Retired.Add(1)
 		t.discard(x.conn, reason)
 	}
 }
 
-// evict closes an idle connection of any target, and keeps its place in the budget.
+// evict closes an idle connection of any target and leaves its place in the socket budget to the caller.
 func (t *Transport) evict() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, tg := range t.targets {
-		tg.pool.mu.Lock()
-		if len(tg.pool.idle) > 0 {
-			c := tg.pool.idle[0].conn
-			tg.pool.idle = tg.pool.idle[1:]
-			tg.pool.mu.Unlock()
-			t.Counts.Closes.Note(closedPlace)
+	for _, target := range t.targets {
+		target.pool.mu.Lock()
+		if len(target.pool.idle) > 0 {
+			c := target.pool.idle[0].conn
+			target.pool.idle = target.pool.idle[1:]
+			target.pool.mu.Unlock()
+			t.Counts.Closes.Note(closedEvicted)
 			c.Close()
 			return true
 		}
-		tg.pool.mu.Unlock()
+		target.pool.mu.Unlock()
 	}
 	return false
 }
 
-// stands looks, without waiting, whether the other side has closed an idle connection or
-// sent something that nobody asked for. Either way it is of no use.
-func stands(c *httpio.Conn) bool {
-	come, err := c.Look()
-	return !come && err == nil
+// usable reports, without blocking, whether an idle connection is still open and has no unexpected data to read.
+func usable(c *httpio.Conn) bool {
+	received, err := c.Look()
+	return !received && err == nil
 }
 
-// parseBody reads a load report from a probe's answer: the body, as name=value pairs or
-// as JSON, or else the header.
-func parseBody(body []byte, header string) balance.Report {
+// parseProbeReport reads a load report from the response to a probe: from the body, as JSON or as name=value
+// pairs, or else from the header.
+func parseProbeReport(body []byte, header string) balance.Report {
 	body = bytes.TrimSpace(body)
-	var figures map[string]float64
-	if json.Unmarshal(body, &figures) == nil && len(figures) > 0 {
-		return httpio.Load(figures)
+	var values map[string]float64
+	if json.Unmarshal(body, &values) == nil && len(values) > 0 {
+		return httpio.Load(values)
 	}
 	if rep := httpio.ParseLoad(strings.TrimSpace(string(body))); rep.Present {
 		return rep
--- a/internal/net/target/rest.go
+++ b/internal/net/target/rest.go
@@ -2,68 +2,68 @@
 
 import "sync"
 
-// rests learns how long a connection may rest before it is better not used again. Targets,
-// and what stands between, may drop one long before the limit in the settings and say
-// nothing: the next request on it ends as a reset, and a purchase that may have run cannot
-// leave its pod any more. Breaks that come at any age tell nothing of rest, so ages are held
-// against each other.
-type rests struct {
-	mu    sync.Mutex
-	ages  [len(restEnds) + 1]record
-	since float64
+// idleStats learns for how long a connection may be idle before reuse becomes risky. Targets and intermediaries
+// may drop an idle connection without notice, long before the limit in the settings. The next request on it then
+// ends as a reset, and a purchase that may have run can no longer move to another pod. Breaks that occur at any
+// idle time say nothing about idleness, so idle times are compared with one another.
+type idleStats struct {
+	mu       sync.Mutex
+	buckets  [len(bucketEnds) + 1]idleBucket
+	halvedAt float64
 }
 
-// record counts what became of requests on connections that had rested alike.
-type record struct{ kept, broken float64 }
+// idleBucket counts the requests on connections of similar idle time, by whether the connection broke.
+type idleBucket struct{ intact, broken float64 }
 
-// restEnds are the ends of the ages that are told apart, in milliseconds.
-var restEnds = [...]float64{25, 50, 100, 200, 400, 800, 1600, 3200, 6400}
+// bucketEnds are the upper bounds of the idle-time buckets, in milliseconds.
+var bucketEnds = [...]float64{25, 50, 100, 200, 400, 800, 1600, 3200, 6400}
 
 const (
-	restForget = 10_000.0 // milliseconds after which the records count half, and old ages are tried again
-	restTrust  = 0.15     // more broken than this, beyond the share of the youngest, is not worth a handshake saved
-	restProof  = 3.0      // breaks that must have been seen of an age
+	statsHalfLife  = 10_000.0 // milliseconds after which all counts are halved, so that long idle times are tried again
+	maxExtraBroken = 0.15     // share of breaks above the first bucket's share, from which the risk outweighs a saved handshake
+	minBroken      = 3.0      // breaks in a bucket before it limits the idle time
 )
 
-func restAge(rested float64) int {
-	for i, end := range restEnds {
-		if rested < end {
+func bucketIndex(idleTime float64) int {
+	for i, end := range bucketEnds {
+		if idleTime < end {
 			return i
 		}
 	}
-	return len(restEnds)
+	return len(bucketEnds)
 }
 
-// note takes in what became of a request on a connection that had rested so long.
-func (r *rests) note(now, rested float64, broke bool) {
+// record counts a request on a connection that had been idle for idleTime milliseconds, and whether the connection
+// broke.
+func (r *idleStats) record(now, idleTime float64, broke bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if now-r.since > restForget {
-		r.since = now
-		for i := range r.ages {
-			r.ages[i].kept /= 2
-			r.ages[i].broken /= 2
+	if now-r.halvedAt > statsHalfLife {
+		r.halvedAt = now
+		for i := range r.buckets {
+			r.buckets[i].intact /= 2
+			r.buckets[i].broken /= 2
 		}
 	}
-	if a := &r.ages[restAge(rested)]; broke {
-		a.broken++
+	if bucket := &r.buckets[bucketIndex(idleTime)]; broke {
+		bucket.broken++
 	} else {
-		a.kept++
+		bucket.intact++
 	}
 }
 
-// limit is how long a connection may rest to be used again, at most longest.
-func (r *rests) limit(longest float64) float64 {
+// limit returns the idle time in milliseconds up to which a connection may be reused, at most longest.
+func (r *idleStats) limit(longest float64) float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	usual := r.ages[0].share()
-	for i := 1; i < len(r.ages); i++ {
-		if a := r.ages[i]; a.broken >= restProof && a.share() > usual+restTrust {
-			return min(longest, restEnds[i-1])
+	baseline := r.buckets[0].brokenShare()
+	for i := 1; i < len(r.buckets); i++ {
+		if bucket := r.buckets[i]; bucket.broken >= minBroken && bucket.brokenShare() > baseline+maxExtraBroken {
+			return min(longest, bucketEnds[i-1])
 		}
 	}
 	return longest
 }
 
-// share is the share that broke; few requests prove little.
-func (r record) share() float64 { return r.broken / (r.kept + r.broken + 1) }
+// brokenShare is the share of requests whose connection broke. The 1 in the divisor lowers it while there are few.
+func (r idleBucket) brokenShare() float64 { return r.broken / (r.intact + r.broken + 1) }
--- a/internal/net/target/target.go
+++ b/internal/net/target/target.go
@@ -1,5 +1,7 @@
-// Package target reaches shop workers: a pool of connections to each, attempts, giving
-// them up, and probes.
+// Package target connects the scheduler to the targets. It is given the target list and the attempts to start, to
+// cancel and to probe. It keeps a pool of connections to each target, and reports to its Sink how each attempt and
+// probe ended. It sends attempts up to their 202; the outcome of an accepted job arrives at package listener. It
+// does not choose targets and does not retry an attempt that may have run.
 package target
 
 import (
@@ -19,37 +21,37 @@
 	"cottonwell/internal/net/httpio"
 )
 
-// Sink is what the transport needs of the core.
+// Sink receives the outcomes of attempts and probes.
 type Sink interface {
 	Ended(core.Outcome)
 	ProbeEnded(core.ProbeResult)
 }
 
-// Config is what a transport is made from.
+// Config configures a Transport.
 type Config struct {
 	Clock   clock.Clock
 	Log     *slog.Logger
 	Stack   *httpio.Stack
 	Sink    Sink
 	Sockets *httpio.Budget
-	// DialFor is how long a connection may take to come up, in milliseconds.
+	// DialFor is the timeout for establishing a connection, in milliseconds.
 	DialFor float64
-	// IdleFor is after how long targets close idle connections, in milliseconds.
+	// IdleFor is the time in milliseconds after which targets close idle connections.
 	IdleFor float64
-	// Host is the service's name, for the Host field.
+	// Host is the service's name, sent in the Host header field.
 	Host string
 }
 
 const (
-	deletes   = 3      // tries to tell a target of a job that is given up
-	writeFor  = 1000.0 // milliseconds
-	probeFor  = 500.0
-	giveUpFor = 150.0 // for the answer to a DELETE
-	partFor   = 250.0 // for a target to end a connection that we have ended
-	settle    = 10.0  // from closing one all the same until the target may be taken to know
-	lateFor   = 200.0 // for a 202 that comes after its attempt is over
-	bodyFor   = 200.0 // for the body of an answer, which nobody needs
-	goneMost  = 1024  // targets that have left the list and are remembered, so that they can be told of jobs given up
+	maxDeleteTries    = 3      // DELETE requests for a cancelled job until one is acknowledged
+	writeTimeout      = 1000.0 // milliseconds, as all times below
+	probeTimeout      = 500.0
+	deleteTimeout     = 150.0 // for the response to a DELETE
+	closeTimeout      = 250.0 // for a target to close a connection whose sending side this process has closed
+	closeNoticeDelay  = 10.0  // from closing a connection until the target is assumed to have noticed
+	lateResponseGrace = 200.0 // for a 202 after the attempt's deadline
+	bodyTimeout       = 200.0 // for the body of a response, which is discarded
+	maxRemoved        = 1024  // targets remembered after they left the list, so that their jobs can still be cancelled
 )
 
 // Transport implements core.Transport on the platform's protocol.
@@ -57,36 +59,36 @@
 	Config
 	Counts Counts
 
-	rests rests
+	idleStats idleStats
 
 	mu      sync.Mutex
-	targets map[string]*target
-	gone    []string // names of targets that have left the list, the first to leave first
+	targets map[string]*targetState
+	removed []string // names of targets that have left the list, in the order of leaving
 	running map[core.Ref]*attempt
 }
 
-// Counts are a transport's figures, for the log.
+// Counts are the counters of a transport, for the log.
 type Counts struct {
 	Dialled, Reused, Retired, Deletes, Unheard atomic.Int64
 	Closes                                     httpio.Closes
 }
 
-// target is one shop worker. closed says that nothing new may be sent to it.
-type target struct {
+// targetState is the state of one target. While unavailable is set, nothing new is sent to it.
+type targetState struct {
 	name, address string
 	started       float64
-	closed        atomic.Bool
-	gone          bool // it has left the list
+	unavailable   atomic.Bool
+	removed       bool // from the list
 	pool          pool
 }
 
 // New returns a transport without targets.
 func New(cfg Config) *Transport {
-	return &Transport{Config: cfg, targets: map[string]*target{}, running: map[core.Ref]*attempt{}}
+	return &Transport{Config: cfg, targets: map[string]*targetState{}, running: map[core.Ref]*attempt{}}
 }
 
-// Waiting is how many attempts have no answer of their target yet, not even a 202, and how many that were given up have not
-// been told to have ended.
+// Waiting returns the number of attempts without any response from their target, not even a 202, plus the number
+// of cancelled attempts whose end is not reported yet.
 func (t *Transport) Waiting() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -94,99 +96,100 @@
 }
 
 // Listed implements core.Transport.
-func (t *Transport) Listed(g core.Group) {
+func (t *Transport) Listed(group core.Group) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	seen := map[string]bool{}
-	for _, x := range g.Targets {
-		seen[x.ID] = true
-		tg := t.targets[x.ID]
-		if tg == nil {
-			tg = &target{name: x.ID, address: x.Address, started: x.StartedMS}
-			t.targets[x.ID] = tg
+	for _, listed := range group.Targets {
+		seen[listed.ID] = true
+		target := t.targets[listed.ID]
+		if target == nil {
+			target = &targetState{name: listed.ID, address: listed.Address, started: listed.StartedMS}
+			t.targets[listed.ID] = target
 		}
-		if (x.Address != "" && x.Address != tg.address) || x.StartedMS != tg.started {
-			// Another process answers there, or the same name elsewhere: the old connections are dead.
-			if x.Address != "" {
-				tg.address = x.Address
+		if (listed.Address != "" && listed.Address != target.address) || listed.StartedMS != target.started {
+			// Another process has this address, or the target has moved: the old connections are dead.
+			if listed.Address != "" {
+				target.address = listed.Address
 			}
-			tg.started = x.StartedMS
-			t.retire(tg, 0, closedGone)
+			target.started = listed.StartedMS
+			t.closeIdle(target, 0, closedTargetReplaced)
 		}
-		tg.closed.Store(x.State != balance.Ready)
-		if x.State == balance.Gone {
-			t.leave(tg)
+		target.unavailable.Store(listed.State != balance.Ready)
+		if listed.State == balance.Gone {
+			t.markRemoved(target)
 		} else {
-			tg.gone = false
+			target.removed = false
 		}
 	}
-	if g.Scope == balance.Changes {
+	if group.Scope == balance.Changes {
 		return
 	}
-	for name, tg := range t.targets {
+	for name, target := range t.targets {
 		if !seen[name] {
-			tg.closed.Store(true)
-			t.retire(tg, 0, closedGone)
-			t.leave(tg)
+			target.unavailable.Store(true)
+			t.closeIdle(target, 0, closedTargetReplaced)
+			t.markRemoved(target)
 		}
 	}
 }
 
-// leave notes that a target has left the list. It may still have jobs of ours; of those that left long ago only so
-// many are remembered.
-func (t *Transport) leave(tg *target) {
-	if tg.gone {
+// markRemoved records that a target has left the list. The target may still have jobs of this scheduler, so the
+// last maxRemoved of them are remembered.
+func (t *Transport) markRemoved(target *targetState) {
+	if target.removed {
 		return
 	}
-	tg.gone = true
-	t.gone = append(t.gone, tg.name)
-	for len(t.gone) > goneMost {
-		if old := t.targets[t.gone[0]]; old != nil && old.gone {
-			t.retire(old, 0, closedGone)
-			delete(t.targets, old.name)
+	target.removed = true
+	t.removed = append(t.removed, target.name)
+	for len(t.removed) > maxRemoved {
+		if oldest := t.targets[t.removed[0]]; oldest != nil && oldest.removed {
+			t.closeIdle(oldest, 0, closedTargetReplaced)
+			delete(t.targets, oldest.name)
 		}
-		t.gone = t.gone[1:]
+		t.removed = t.removed[1:]
 	}
 }
 
-func (t *Transport) target(name string) (*target, string) {
+func (t *Transport) lookup(name string) (*targetState, string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	tg := t.targets[name]
-	if tg == nil {
+	target := t.targets[name]
+	if target == nil {
 		return nil, ""
 	}
-	return tg, tg.address
+	return target, target.address
 }
 
-// stage is how far an attempt has come on its connection.
+// stage is the progress of an attempt on its connection.
 type stage int
 
 const (
-	waiting stage = iota // for a connection
-	writing              // the target may have the last byte
-	over                 // answered, or broken
-	quit                 // given up: nothing goes out any more, and nothing is heard
+	connecting stage = iota // no byte is sent yet
+	writing                 // the target may have received the last byte
+	finished                // the response was received, or the connection broke
+	abandoned               // cancelled: nothing more is sent or reported for it
 )
 
-// attempt is an attempt until its 202.
+// attempt is a core.Attempt until its 202.
 type attempt struct {
 	core.Attempt
-	mu    sync.Mutex
-	stage stage
-	conn  *httpio.Conn
-	left  bool // its client has left: it may not begin any more
-
-	read   chan struct{}   // closed once nothing more is read for it
-	back   httpio.Exchange // what came after it was given up, good after read
-	report balance.Report
+	mu         sync.Mutex
+	stage      stage
+	conn       *httpio.Conn
+	clientLeft bool // its client has left: nothing may be sent that is not on its way
+
+	readDone     chan struct{}   // closed once no more is read for the attempt
+	lateExchange httpio.Exchange // the exchange after abandonment; valid once readDone is closed
+	lateReport   balance.Report
 }
 
-// enter moves to another stage, unless the attempt was given up.
-func (a *attempt) enter(s stage, c *httpio.Conn) bool {
+// enterStage changes the stage, and returns false if the attempt was abandoned or its client left before it was
+// sent.
+func (a *attempt) enterStage(s stage, c *httpio.Conn) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.stage == quit || a.left && s < over {
+	if a.stage == abandoned || a.clientLeft && s < finished {
 		return false
 	}
 	a.stage, a.conn = s, c
@@ -195,190 +198,195 @@
 
 // Start implements core.Transport.
 func (t *Transport) Start(a core.Attempt) {
-	at := &attempt{Attempt: a, read: make(chan struct{}), back: httpio.GivenUp}
+	running := &attempt{Attempt: a, readDone: make(chan struct{}), lateExchange: httpio.GivenUp}
 	t.mu.Lock()
-	t.running[a.Ref] = at
+	t.running[a.Ref] = running
 	t.mu.Unlock()
-	go t.run(at)
+	go t.run(running)
 }
 
-// run carries an attempt up to its 202. The core drops what is told of an attempt that
-// it has ended, so run tells whatever it sees.
+// run executes an attempt up to its 202. It reports every outcome: the core drops those of attempts that it has
+// ended.
 func (t *Transport) run(a *attempt) {
-	back, rep := t.exchange(a)
-	close(a.read)
-	givenUp := !a.enter(over, nil)
+	exchange, report := t.exchange(a)
+	close(a.readDone)
+	cancelled := !a.enterStage(finished, nil)
 	if a.Job.Body != nil {
 		a.Job.Body.Release()
 	}
-	if back != "" { // after a 202 the call-backs tell the rest
-		t.end(a.Ref, back, rep)
+	if exchange != "" { // after a 202, call-backs report the outcome
+		t.reportEnd(a.Ref, exchange, report)
 	}
-	if back != "" || !givenUp { // else giveUp tells how it ended
+	if exchange != "" || !cancelled { // otherwise cancel reports the outcome
 		t.forget(a.Ref)
 	}
 }
 
-// forget takes an attempt that has its answer off those that wait for one.
+// forget removes an attempt from those without a response.
 func (t *Transport) forget(r core.Ref) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.running, r)
 }
 
-func (t *Transport) end(r core.Ref, back httpio.Exchange, rep balance.Report) {
-	res, _ := httpio.Outcome(back)
-	t.Sink.Ended(core.Outcome{Ref: r, Result: res, Report: rep})
+// reportEnd reports the outcome of an exchange to the core.
+func (t *Transport) reportEnd(r core.Ref, exchange httpio.Exchange, report balance.Report) {
+	result, _ := httpio.Outcome(exchange)
+	t.Sink.Ended(core.Outcome{Ref: r, Result: result, Report: report})
 }
 
 // exchange sends the request and waits for its 202, for which it returns "".
 func (t *Transport) exchange(a *attempt) (httpio.Exchange, balance.Report) {
-	none := balance.Report{}
-	tg, address := t.target(a.Target)
-	if tg == nil {
-		return httpio.NotBegun, none
+	noReport := balance.Report{}
+	target, address := t.lookup(a.Target)
+	if target == nil {
+		return httpio.NotBegun, noReport
 	}
 	for {
-		c, rested, err := t.take(tg, address)
+		conn, idleTime, err := t.acquire(target, address)
 		if errors.Is(err, errNoSocket) {
 			t.Log.Warn("no socket left for an attempt", "target", a.Target)
-			return httpio.NotBegun, none
+			return httpio.NotBegun, noReport
 		}
 		if err != nil {
 			t.Log.Debug("connect", "target", a.Target, "cause", err)
-			return httpio.NotConnected, none
+			return httpio.NotConnected, noReport
 		}
-		// While the connection came up, the target may have begun to drain, the attempt was given up, or the
-		// time is over in which the request may be repeated.
-		if tg.closed.Load() || a.Latest > 0 && t.Clock.Now() > a.Latest || !a.enter(writing, c) {
-			t.put(tg, c, false)
-			return httpio.NotBegun, none
+		// While the connection was established, the target may have begun to drain, the attempt may have been
+		// cancelled, or the time in which the request may be repeated may have ended.
+		if target.unavailable.Load() || a.Latest > 0 && t.Clock.Now() > a.Latest || !a.enterStage(writing, conn) {
+			t.release(target, conn, false)
+			return httpio.NotBegun, noReport
 		}
-		buf := c.Buffer()
-		h := httpio.Start(buf, a.Job.Method, " ", a.Job.Path, " HTTP/1.1").Field("Host", t.Host).
+		buf := conn.Buffer()
+		head := httpio.Start(buf, a.Job.Method, " ", a.Job.Path, " HTTP/1.1").Field("Host", t.Host).
 			Field("X-Txn", a.ID).Field("Idempotency-Key", a.Job.Key).Field("Content-Type", a.Job.Type).
 			Field("X-Remaining", strconv.FormatInt(int64(max(1, a.Deadline-t.Clock.Now())), 10)+"m")
 		var body [][]byte
 		if a.Job.Body != nil {
 			body = a.Job.Body.Slices()
 		}
-		missing, err := c.Send(h, body, t.Clock.Deadline(writeFor))
-		c.Done(buf)
+		missing, err := conn.Send(head, body, t.Clock.Deadline(writeTimeout))
+		conn.Done(buf)
 		if err != nil || missing > 0 {
-			t.discard(c, closedUnwritten)
+			t.discard(conn, closedWriteFailed)
 			switch {
 			case missing == 0:
-				return httpio.BrokenAfter, none
-			case !a.enter(waiting, nil): // given up while it was being written; the target never had it whole
-				return httpio.NotBegun, none
-			case rested >= 0:
-				// The target closed an idle connection as we took it. It never had the last byte, so
-				// this was no attempt, and a fresh connection tells whether the target is there.
+				return httpio.BrokenAfter, noReport
+			case !a.enterStage(connecting, nil): // cancelled during the write; the target never received all of it
+				return httpio.NotBegun, noReport
+			case idleTime >= 0:
+				// The target closed an idle connection as it was reused. It never received the last byte, so this
+				// was no attempt. A new connection shows whether the target is reachable.
 				continue
 			}
-			return httpio.BrokenBefore, none
+			return httpio.BrokenBefore, noReport
 		}
-		resp, err := c.ReadHead(a.Job.Method, t.Clock.Deadline(a.Deadline-t.Clock.Now()+lateFor))
-		// From here on nobody may close the connection for this attempt's sake: it goes back to the
-		// pool, and the next request on it would break.
-		if !a.enter(over, nil) {
-			t.discard(c, closedGivenUp)
+		resp, err := conn.ReadHead(a.Job.Method, t.Clock.Deadline(a.Deadline-t.Clock.Now()+lateResponseGrace))
+		// From here on a cancellation must not close the connection: it returns to the pool, and the next request
+		// on it would break.
+		if !a.enterStage(finished, nil) {
+			t.discard(conn, closedCancelled)
 			if err == nil {
-				a.back, a.report = t.answered(a, resp), httpio.ParseLoad(resp.Header.Get("X-Pressure"))
+				a.lateExchange, a.lateReport = t.classify(a, resp), httpio.ParseLoad(resp.Header.Get("X-Pressure"))
 			}
-			return "", none // giveUp tells of it
+			return "", noReport // cancel reports the outcome
 		}
 		switch {
 		case httpio.TimedOut(err):
-			t.discard(c, closedSilent)
-			return httpio.Silence, none
+			t.discard(conn, closedTimeout)
+			return httpio.Silence, noReport
 		case errors.Is(err, httpio.ErrMalformed), errors.Is(err, httpio.ErrTooLarge):
-			// What came is no answer. The end of the connection gives the attempt up; the target has to have seen
-			// that before a further attempt, or it would be a second copy.
-			t.Log.Debug("spoilt answer", "target", a.Target, "id", a.ID, "cause", err)
-			t.endOver(c)
-			t.wait(settle)
-			return httpio.BrokenAfter, none
+			// The data is not a valid response. Closing the connection cancels the attempt. The target has to
+			// notice that before a further attempt starts, or that attempt would be a second copy.
+			t.Log.Debug("malformed response", "target", a.Target, "id", a.ID, "cause", err)
+			t.closeMalformed(conn)
+			t.sleep(closeNoticeDelay)
+			return httpio.BrokenAfter, noReport
 		case err != nil:
-			t.discard(c, closedBroken)
-			t.noteRest(rested, true)
-			return httpio.BrokenAfter, none
+			t.discard(conn, closedBroken)
+			t.recordIdle(idleTime, true)
+			return httpio.BrokenAfter, noReport
 		}
-		t.noteRest(rested, false)
-		// The head says what became of the attempt. Its body may break off or never end, and must not change or
-		// delay that.
-		if c.RestIsHere(resp) {
-			t.settle(tg, c, resp)
+		t.recordIdle(idleTime, false)
+		// The head decides the outcome of the attempt. Its body may break off or never end, and must neither
+		// change nor delay the outcome.
+		if conn.RestIsHere(resp) {
+			t.finishResponse(target, conn, resp)
 		} else {
-			go t.settle(tg, c, resp)
+			go t.finishResponse(target, conn, resp)
 		}
-		return t.answered(a, resp), httpio.ParseLoad(resp.Header.Get("X-Pressure"))
+		return t.classify(a, resp), httpio.ParseLoad(resp.Header.Get("X-Pressure"))
 	}
 }
 
-// endOver ends a connection on which more may be on the way. It tells the target at once, then takes what still comes for
-// a while: a close over unread bytes would reset the connection, and the target might not see the end.
-func (t *Transport) endOver(c *httpio.Conn) {
-	t.Counts.Closes.Note(closedSpoilt)
-	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
+// closeMalformed closes a connection on which more data may be on the way. It closes the sending side at once,
+// then discards what it receives until closeTimeout. Closing with unread bytes would reset the connection, and the
+// target might not see its end.
+func (t *Transport) closeMalformed(conn *httpio.Conn) {
+	t.Counts.Closes.Note(closedMalformed)
+	if half, ok := conn.Conn.(interface{ CloseWrite() error }); ok {
 		_ = half.CloseWrite()
 	}
 	go func() {
-		httpio.CloseGently(c, t.Clock.Deadline(partFor))
+		httpio.CloseGently(conn, t.Clock.Deadline(closeTimeout))
 		t.Sockets.Give()
 	}()
 }
 
-func (t *Transport) noteRest(rested float64, broke bool) {
-	if rested >= 0 {
-		t.rests.note(t.Clock.Now(), rested, broke)
+// recordIdle records whether a reused connection broke; a new one has no idle time and is not counted.
+func (t *Transport) recordIdle(idleTime float64, broke bool) {
+	if idleTime >= 0 {
+		t.idleStats.record(t.Clock.Now(), idleTime, broke)
 	}
 }
 
-// answered is the exchange that an answer to a request stands for, "" for a 202.
-func (t *Transport) answered(a *attempt, resp *http.Response) httpio.Exchange {
+// classify returns the exchange for a response to a request, "" for a 202.
+func (t *Transport) classify(a *attempt, resp *http.Response) httpio.Exchange {
 	if resp.StatusCode == 202 {
 		return ""
 	}
-	turnedAway := resp.Header.Get("X-Turned-Away")
-	if resp.StatusCode != 500 && turnedAway == "" {
-		t.Log.Warn("unexpected answer", "target", a.Target, "status", resp.StatusCode)
+	rejected := resp.Header.Get("X-Turned-Away")
+	if resp.StatusCode != 500 && rejected == "" {
+		t.Log.Warn("unexpected response", "target", a.Target, "status", resp.StatusCode)
 	}
-	return httpio.Answered(resp.StatusCode, turnedAway == "1")
+	return httpio.Answered(resp.StatusCode, rejected == "1")
 }
 
-// Cancel implements core.Transport: it gives an attempt up, and tells so once the target
-// knows. An attempt that is not yet on its way just does not leave.
+// Cancel implements core.Transport. It cancels an attempt, and reports that once the target has noticed. An
+// attempt that is not sent yet is not sent any more.
 func (t *Transport) Cancel(a core.Attempt) {
 	t.mu.Lock()
-	at := t.running[a.Ref]
+	running := t.running[a.Ref]
 	t.mu.Unlock()
-	go t.giveUp(a, at)
+	go t.cancel(a, running)
 }
 
-func (t *Transport) giveUp(a core.Attempt, at *attempt) {
+// cancel ends the attempt by the means that its stage needs: it stops one that is not sent, closes the connection of
+// one without a 202, and sends DELETE for an accepted job. An Unsent cancellation leaves what was sent alone.
+func (t *Transport) cancel(a core.Attempt, running *attempt) {
 	if !a.Unsent {
 		defer t.forget(a.Ref)
 	}
-	if at != nil {
-		at.mu.Lock()
-		was, c := at.stage, at.conn
-		if was == waiting || was == writing && !a.Unsent {
-			at.stage = quit
+	if running != nil {
+		running.mu.Lock()
+		previous, conn := running.stage, running.conn
+		if previous == connecting || previous == writing && !a.Unsent {
+			running.stage = abandoned
 		}
-		at.left = at.left || a.Unsent
-		at.mu.Unlock()
-		switch was {
-		case waiting:
-			t.end(a.Ref, httpio.GivenUp, balance.Report{})
+		running.clientLeft = running.clientLeft || a.Unsent
+		running.mu.Unlock()
+		switch previous {
+		case connecting:
+			t.reportEnd(a.Ref, httpio.GivenUp, balance.Report{})
 			return
 		case writing:
 			if a.Unsent {
 				return
 			}
-			back, rep := t.part(at, c)
-			if back != "" {
-				t.end(a.Ref, back, rep)
+			exchange, report := t.closeAndWait(running, conn)
+			if exchange != "" {
+				t.reportEnd(a.Ref, exchange, report)
 				return
 			}
 		}
@@ -387,122 +395,122 @@
 		return
 	}
 	t.Counts.Deletes.Add(1)
-	for range deletes {
+	for range maxDeleteTries {
 		if t.delete(a) {
-			t.end(a.Ref, httpio.GivenUp, balance.Report{})
+			t.reportEnd(a.Ref, httpio.GivenUp, balance.Report{})
 			return
 		}
 	}
-	// The target never said that it knows. Until the core stops waiting, a further attempt
-	// would be a second copy of this one.
+	// The target has not acknowledged the cancellation. Until the core stops waiting, a further attempt would be a
+	// second copy of this one.
 	t.Counts.Unheard.Add(1)
 }
 
-// delete gives a taken job up and says whether the target knows.
+// delete cancels an accepted job and reports whether the target acknowledged it.
 func (t *Transport) delete(a core.Attempt) bool {
-	tg, address := t.target(a.Target)
-	if tg == nil {
-		return false // it left long ago, and cannot be told
+	target, address := t.lookup(a.Target)
+	if target == nil {
+		return false // it left the list long ago, and its address is forgotten
 	}
-	status, _, _, err := t.call(tg, address, "DELETE", "/jobs/"+a.ID, giveUpFor)
+	status, _, _, err := t.roundTrip(target, address, "DELETE", "/jobs/"+a.ID, deleteTimeout)
 	if err != nil {
-		t.Log.Debug("give up", "target", a.Target, "id", a.ID, "cause", err)
+		t.Log.Debug("cancel job", "target", a.Target, "id", a.ID, "cause", err)
 		return false
 	}
-	if status == 404 { // it is over there, and its last word is on the way
-		t.Log.Debug("give up: the target no longer has the job", "target", a.Target, "id", a.ID)
+	if status == 404 { // the job has ended there, and its final event is on the way
+		t.Log.Debug("cancel job: the target no longer has the job", "target", a.Target, "id", a.ID)
 		return false
 	}
 	if status >= 300 {
-		t.Log.Warn("give up: unexpected answer", "target", a.Target, "id", a.ID, "status", status)
+		t.Log.Warn("cancel job: unexpected response", "target", a.Target, "id", a.ID, "status", status)
 	}
 	return true
 }
 
-// part ends a connection on which a 202 is awaited, which gives the attempt up without
-// overtaking the request as a DELETE on another connection could. A target that is slow to
-// take the connection reads request and end late, and a further attempt before that would be
-// a second copy; so its own end, or answer, is waited for. "" says that it has taken the job.
-func (t *Transport) part(at *attempt, c *httpio.Conn) (httpio.Exchange, balance.Report) {
-	tcp, ok := c.Conn.(*net.TCPConn)
+// closeAndWait closes a connection on which a 202 is awaited, which cancels the attempt. Unlike a DELETE on
+// another connection, the close cannot overtake the request. A target that is slow to accept the connection reads
+// request and close late, and a further attempt before that would be a second copy. So closeAndWait waits for the
+// target's close or response. It returns "" if the target has accepted the job.
+func (t *Transport) closeAndWait(running *attempt, conn *httpio.Conn) (httpio.Exchange, balance.Report) {
+	tcp, ok := conn.Conn.(*net.TCPConn)
 	if ok && tcp.CloseWrite() == nil {
-		a := t.Clock.NewAlarm()
-		defer a.Stop()
-		a.Set(t.Clock.Now() + partFor)
+		alarm := t.Clock.NewAlarm()
+		defer alarm.Stop()
+		alarm.Set(t.Clock.Now() + closeTimeout)
 		select {
-		case <-at.read:
-			return at.back, at.report
-		case <-a.C():
+		case <-running.readDone:
+			return running.lateExchange, running.lateReport
+		case <-alarm.C():
 		}
 	}
-	c.Close()
-	<-at.read
-	t.wait(settle)
-	return at.back, at.report
+	conn.Close()
+	<-running.readDone
+	t.sleep(closeNoticeDelay)
+	return running.lateExchange, running.lateReport
 }
 
-func (t *Transport) wait(ms float64) {
-	a := t.Clock.NewAlarm()
-	defer a.Stop()
-	a.Set(t.Clock.Now() + ms)
-	<-a.C()
+func (t *Transport) sleep(ms float64) {
+	alarm := t.Clock.NewAlarm()
+	defer alarm.Stop()
+	alarm.Set(t.Clock.Now() + ms)
+	<-alarm.C()
 }
 
 // Probe implements core.Transport.
 func (t *Transport) Probe(name string) {
 	go func() {
-		begin := t.Clock.Now()
-		r := core.ProbeResult{Target: name, SentAt: begin}
-		if tg, address := t.target(name); tg != nil {
-			status, body, load, err := t.call(tg, address, "GET", "/metrics/load", probeFor)
+		started := t.Clock.Now()
+		result := core.ProbeResult{Target: name, SentAt: started}
+		if target, address := t.lookup(name); target != nil {
+			status, body, load, err := t.roundTrip(target, address, "GET", "/metrics/load", probeTimeout)
 			switch {
 			case errors.Is(err, errNoSocket):
-				r.Result = balance.NeverSent
+				result.Result = balance.NeverSent
 			case errors.Is(err, errDial):
-				r.Result = balance.NoConnection
+				result.Result = balance.NoConnection
 			case err != nil:
-				r.Result = balance.TimedOut
+				result.Result = balance.TimedOut
 			case status != 200:
-				r.Result, r.NotReady = balance.Failed, status == http.StatusServiceUnavailable
+				result.Result, result.NotReady = balance.Failed, status == http.StatusServiceUnavailable
 			default:
-				r.Report = parseBody(body, load)
+				result.Report = parseProbeReport(body, load)
 			}
 		}
-		r.Elapsed = t.Clock.Now() - begin
-		t.Sink.ProbeEnded(r)
+		result.Elapsed = t.Clock.Now() - started
+		t.Sink.ProbeEnded(result)
 	}()
 }
 
-// call makes a request without a body and returns the answer's status, body and load.
-func (t *Transport) call(tg *target, address, method, path string, within float64) (int, []byte, string, error) {
-	c, _, err := t.take(tg, address)
+// roundTrip makes a request without a body and returns the response's status, body and load report.
+func (t *Transport) roundTrip(target *targetState, address, method, path string, timeout float64) (int, []byte, string, error) {
+	conn, _, err := t.acquire(target, address)
 	if err != nil {
 		return 0, nil, "", err
 	}
-	buf := c.Buffer()
-	defer c.Done(buf)
-	h := httpio.Start(buf, method, " ", path, " HTTP/1.1").Field("Host", t.Host)
-	by := t.Clock.Deadline(within)
-	if _, err := c.Send(h, nil, by); err != nil {
-		t.discard(c, whyBroken(err))
+	buf := conn.Buffer()
+	defer conn.Done(buf)
+	head := httpio.Start(buf, method, " ", path, " HTTP/1.1").Field("Host", t.Host)
+	deadline := t.Clock.Deadline(timeout)
+	if _, err := conn.Send(head, nil, deadline); err != nil {
+		t.discard(conn, closeReasonFor(err))
 		return 0, nil, "", fmt.Errorf("%s %s: %w", method, path, err)
 	}
-	resp, err := c.ReadHead(method, by)
+	resp, err := conn.ReadHead(method, deadline)
 	if err != nil {
-		t.discard(c, whyBroken(err))
+		t.discard(conn, closeReasonFor(err))
 		return 0, nil, "", fmt.Errorf("%s %s: %w", method, path, err)
 	}
-	body, err := c.ReadRest(resp, by)
+	body, err := conn.ReadRest(resp, deadline)
 	if err != nil {
-		t.discard(c, whyBroken(err))
+		t.discard(conn, closeReasonFor(err))
 		return 0, nil, "", fmt.Errorf("%s %s: %w", method, path, err)
 	}
 	defer body.Release()
-	t.put(tg, c, resp.Close)
-	return resp.StatusCode, flat(body), resp.Header.Get("X-Pressure"), nil
+	t.release(target, conn, resp.Close)
+	return resp.StatusCode, flatten(body), resp.Header.Get("X-Pressure"), nil
 }
 
-func flat(b *buffer.Body) []byte {
+func flatten(b *buffer.Body) []byte {
 	var out []byte
 	for _, s := range b.Slices() {
 		out = append(out, s...)
--- a/internal/net/target/target_test.go
+++ b/internal/net/target/target_test.go
@@ -17,7 +17,7 @@
 	"cottonwell/internal/net/httpio"
 )
 
-// sink keeps what the transport tells.
+// sink collects the outcomes that the transport reports.
 type sink struct {
 	ended  chan core.Outcome
 	probed chan core.ProbeResult
@@ -26,7 +26,7 @@
 func (s sink) Ended(o core.Outcome)          { s.ended <- o }
 func (s sink) ProbeEnded(r core.ProbeResult) { s.probed <- r }
 
-type bench struct {
+type fixture struct {
 	*Transport
 	t     *testing.T
 	clock *clock.Manual
@@ -34,29 +34,29 @@
 	ln    net.Listener
 }
 
-func newBench(t *testing.T) *bench {
+func newFixture(t *testing.T) *fixture {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { ln.Close() })
-	b := &bench{t: t, clock: clock.NewManual(1e6), ln: ln, sink: sink{make(chan core.Outcome, 9), make(chan core.ProbeResult, 9)}}
+	b := &fixture{t: t, clock: clock.NewManual(1e6), ln: ln, sink: sink{make(chan core.Outcome, 9), make(chan core.ProbeResult, 9)}}
 	b.Transport = New(Config{Clock: b.clock, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Stack: httpio.NewStack(), Sink: b.sink,
 		Sockets: httpio.NewBudget(2), DialFor: 5000, IdleFor: 30000, Host: "x"})
 	b.list(balance.Ready)
 	return b
 }
 
-func (b *bench) list(s balance.State) {
+func (b *fixture) list(s balance.State) {
 	b.Listed(core.Group{Scope: balance.Changes, Targets: []core.Target{{Member: balance.Member{ID: "t", State: s}, Address: b.ln.Addr().String()}}})
 }
 
-func (b *bench) start(n int) core.Attempt {
+func (b *fixture) start(n int) core.Attempt {
 	a := core.Attempt{Ref: core.Ref{Flow: 1, N: n}, ID: "id", Target: "t", Job: core.Job{Method: "POST", Path: "/c"}, Deadline: 1e6 + 1000}
 	b.Start(a)
 	return a
 }
 
-// serve accepts a connection, or goes on with c, and reads one request.
-func (b *bench) serve(c net.Conn) (net.Conn, *http.Request) {
+// serve accepts a connection, or uses c, and reads one request.
+func (b *fixture) serve(c net.Conn) (net.Conn, *http.Request) {
 	if c == nil {
 		var err error
 		c, err = b.ln.Accept()
@@ -67,15 +67,15 @@
 	return c, req
 }
 
-func (b *bench) accept202(c net.Conn) {
+func (b *fixture) accept202(c net.Conn) {
 	_, err := io.WriteString(c, "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n")
 	require.NoError(b.t, err)
 	b.idle(1)
-	b.clock.Advance(restLeast)
+	b.clock.Advance(minIdleTime)
 }
 
-func (b *bench) idle(n int) {
-	tg, _ := b.target("t")
+func (b *fixture) idle(n int) {
+	tg, _ := b.lookup("t")
 	require.Eventually(b.t, func() bool {
 		tg.pool.mu.Lock()
 		defer tg.pool.mu.Unlock()
@@ -83,16 +83,16 @@
 	}, 10*time.Second, time.Millisecond)
 }
 
-// A connection that the target has closed while it stood idle must not carry a request: it
-// would end as a reset, and a purchase could not leave its pod any more.
+// A connection that the target closed while it was idle must not carry a request. The request would end as a
+// reset, and a purchase could no longer move to another pod.
 func TestConnectionClosedWhileIdleIsNotUsed(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	b.start(0)
 	c, _ := b.serve(nil)
 	b.accept202(c)
 	c.Close()
-	tg, _ := b.target("t")
-	require.Eventually(t, func() bool { return !stands(tg.pool.idle[0].conn) }, 10*time.Second, time.Millisecond)
+	tg, _ := b.lookup("t")
+	require.Eventually(t, func() bool { return !usable(tg.pool.idle[0].conn) }, 10*time.Second, time.Millisecond)
 	b.start(1)
 	c, _ = b.serve(nil)
 	b.accept202(c)
@@ -101,9 +101,9 @@
 	require.Empty(t, b.sink.ended)
 }
 
-// A connection near the target's idle limit is not used, as the closing could cross.
+// A connection near the target's idle limit is not reused, as a request could cross the close.
 func TestOldConnectionsAreRetired(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	b.start(0)
 	c, _ := b.serve(nil)
 	b.accept202(c)
@@ -120,19 +120,19 @@
 	require.Equal(t, map[httpio.CloseReason]int{closedIdle: 1}, b.Counts.Closes.Counts())
 }
 
-// An attempt given up before its 202 is over once the target has ended its side. One that is
-// slow to take the connection reads the request late, and a further attempt before that would
-// be a second copy. It is not told as a reset besides: two resets eject a worker.
+// An attempt cancelled before its 202 has ended once the target has closed its side. A target that is slow to
+// accept the connection reads the request late, and a further attempt before that would be a second copy. The
+// cancellation is not also reported as a reset: two resets eject a worker.
 func TestGivenUpBeforeThe202(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	a := b.start(0)
 	c, _ := b.serve(nil)
 	b.Cancel(a)
 	_, err := c.Read(make([]byte, 1))
-	require.ErrorIs(t, err, io.EOF, "the end of what we write gives the attempt up")
-	require.Empty(t, b.sink.ended, "the target has not said that it knows")
+	require.ErrorIs(t, err, io.EOF, "closing the sending side cancels the attempt")
+	require.Empty(t, b.sink.ended, "the target has not acknowledged the cancellation")
 	c.Close()
-	require.Equal(t, balance.Cancelled, (<-b.sink.ended).Result, "and no clock had to move")
+	require.Equal(t, balance.Cancelled, (<-b.sink.ended).Result, "without any timeout")
 	require.Eventually(t, func() bool {
 		b.mu.Lock()
 		defer b.mu.Unlock()
@@ -141,15 +141,15 @@
 	require.Empty(t, b.sink.ended)
 }
 
-// A 202 that crosses the giving up is heard: the job is taken, and only DELETE ends it. What
-// the answer proves is told, too.
+// A 202 that crosses the cancellation counts: the job is accepted, and only DELETE ends it. An outcome that the
+// response proves is reported, too.
 func TestAnswerThatCrossesTheGivingUp(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	a := b.start(0)
 	c, _ := b.serve(nil)
 	b.Cancel(a)
 	_, err := c.Read(make([]byte, 1))
-	require.ErrorIs(t, err, io.EOF, "given up; before that, the answer would not cross it")
+	require.ErrorIs(t, err, io.EOF, "cancelled; an earlier response would not cross it")
 	_, err = io.WriteString(c, "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n")
 	require.NoError(t, err)
 	d, req := b.serve(nil)
@@ -159,7 +159,7 @@
 	require.NoError(t, err)
 	require.Equal(t, balance.Cancelled, (<-b.sink.ended).Result)
 	b.idle(1)
-	b.clock.Advance(restLeast)
+	b.clock.Advance(minIdleTime)
 
 	a = b.start(1)
 	_, _ = b.serve(d)
@@ -171,15 +171,15 @@
 	require.Equal(t, balance.Full, (<-b.sink.ended).Result, "it never ran")
 }
 
-// A DELETE that nobody answers proves nothing, so the attempt stays out: the core ends it when
-// it stops waiting, and until then no other target may get the job.
+// A DELETE without a response proves nothing, so the attempt stays open. The core ends it when it stops waiting,
+// and until then no other target may get the job.
 func TestDeleteThatIsNotAnswered(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	a := b.start(0)
 	c, _ := b.serve(nil)
 	b.accept202(c)
 	b.Cancel(a)
-	for i := range deletes {
+	for i := range maxDeleteTries {
 		if i > 0 {
 			c = nil
 		}
@@ -192,16 +192,16 @@
 	require.Empty(t, b.sink.ended)
 }
 
-// A drain that is told between the decision and the first byte holds, too.
+// A drain that is reported between the decision and the first byte applies, too.
 func TestNothingGoesToATargetThatDrains(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	b.list(balance.Draining)
 	b.start(0)
 	require.Equal(t, balance.NeverSent, (<-b.sink.ended).Result)
 }
 
-func TestNoSocketIsNoFaultOfTheTarget(t *testing.T) {
-	b := newBench(t)
+func TestExhaustedSocketBudgetIsNoTargetFailure(t *testing.T) {
+	b := newFixture(t)
 	require.True(t, b.Sockets.TryTake())
 	require.True(t, b.Sockets.TryTake())
 	b.start(0)
@@ -209,7 +209,7 @@
 }
 
 func TestOutcomesOfBrokenConnections(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	b.start(0)
 	c, _ := b.serve(nil)
 	c.Close()
@@ -221,8 +221,8 @@
 	require.Equal(t, balance.NoConnection, (<-b.sink.probed).Result)
 }
 
-func TestProbeBringsTheLoad(t *testing.T) {
-	b := newBench(t)
+func TestProbeReturnsLoadReport(t *testing.T) {
+	b := newFixture(t)
 	b.Probe("t")
 	c, req := b.serve(nil)
 	require.Equal(t, "/metrics/load", req.URL.Path)
@@ -232,59 +232,59 @@
 	require.Equal(t, balance.Report{Present: true, InFlight: 2, Waiting: 1, Free: 3}, r.Report)
 }
 
-// Kept connections that go stale long before the settings' limit end in a reset each, so ages
-// at which many break are not used; breaks that come at any age must not end keeping at all.
+// Idle connections that targets drop long before the limit in the settings end in a reset each. So idle times at
+// which many connections break are not used. Breaks at every idle time must not end reuse altogether.
 func TestConnectionsRestOnlyAsLongAsTheyLast(t *testing.T) {
-	play := func(r *rests, now, rested float64, kept, broken int) {
+	play := func(r *idleStats, now, rested float64, kept, broken int) {
 		for range kept {
-			r.note(now, rested, false)
+			r.record(now, rested, false)
 		}
 		for range broken {
-			r.note(now, rested, true)
+			r.record(now, rested, true)
 		}
 	}
-	r := &rests{}
+	r := &idleStats{}
 	play(r, 1, 10, 96, 4)
 	play(r, 1, 300, 0, 2)
-	require.Equal(t, 15e3, r.limit(15e3), "two breaks prove nothing")
+	require.Equal(t, 15e3, r.limit(15e3), "two breaks are too few to limit the idle time")
 	play(r, 1, 300, 5, 2)
 	require.Equal(t, 200.0, r.limit(15e3))
 	require.Equal(t, 100.0, r.limit(100))
-	play(r, restForget+2, 10, 1, 0)
-	require.Equal(t, 15e3, r.limit(15e3), "what is long ago is tried again")
+	play(r, statsHalfLife+2, 10, 1, 0)
+	require.Equal(t, 15e3, r.limit(15e3), "long idle times are tried again after a while")
 
-	noise := &rests{}
+	noise := &idleStats{}
 	play(noise, 1, 10, 80, 20)
 	play(noise, 1, 300, 8, 3)
-	require.Equal(t, 15e3, noise.limit(15e3), "all ages break alike")
+	require.Equal(t, 15e3, noise.limit(15e3), "the breaks do not depend on the idle time")
 }
 
-// A client leaves as its request is being written to a connection that the target had closed while it stood idle. The
-// request would go out on a fresh connection, some time later: not any more. Before, only its wait for the first
-// connection was looked at.
+// A client leaves while its request is written to a connection that the target had closed while idle. The request
+// must not go out later on a new connection. The fault: the transport checked for the client only while it waited
+// for the first connection.
 func TestClientLeavesBetweenTwoConnections(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	a := core.Attempt{Ref: core.Ref{Flow: 1}, Target: "t", Unsent: true}
 	at := &attempt{Attempt: a}
-	require.True(t, at.enter(writing, nil))
-	b.giveUp(a, at)
-	require.False(t, at.enter(waiting, nil), "it would wait for another connection")
+	require.True(t, at.enterStage(writing, nil))
+	b.cancel(a, at)
+	require.False(t, at.enterStage(connecting, nil), "it would be sent on another connection")
 	at = &attempt{Attempt: a}
-	require.True(t, at.enter(writing, nil))
-	b.giveUp(a, at)
-	require.True(t, at.enter(over, nil), "what has gone out is answered, and its connection kept")
+	require.True(t, at.enterStage(writing, nil))
+	b.cancel(a, at)
+	require.True(t, at.enterStage(finished, nil), "a sent request gets its response, and its connection is kept")
 	require.Empty(t, b.sink.ended)
 }
 
-// A connection comes up so late that the request may not be repeated any more, or so late that its target drains: it is
-// not sent, and the target never sees a byte of it.
+// A connection is established when the request may no longer be repeated, or its target already drains. The
+// request is not sent, and the target receives no byte of it.
 func TestTooLateAsTheConnectionIsUp(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	b.Start(core.Attempt{Ref: core.Ref{Flow: 1}, ID: "id", Target: "t", Job: core.Job{Method: "POST", Path: "/c"}, Deadline: 1e6 + 1000, Latest: 1e6 - 1})
 	require.Equal(t, balance.NeverSent, (<-b.sink.ended).Result)
 	c, err := b.ln.Accept()
 	require.NoError(t, err)
-	b.idle(1) // the connection is kept for others
+	b.idle(1) // the connection stays in the pool for other requests
 	require.NoError(t, c.SetReadDeadline(time.Now().Add(20*time.Millisecond)))
 	n, _ := c.Read(make([]byte, 1))
 	require.Zero(t, n)
