--- a/internal/net/listener/close.go
+++ b/internal/net/listener/close.go
@@ -2,54 +2,54 @@
 
 import "cottonwell/internal/net/httpio"
 
-// Why a client's connection was closed.
+// Reasons for closing a client's connection. The texts are labels in the log and the counters.
 const (
-	closedByClient  httpio.CloseReason = "closed by the client"
-	closedIdle      httpio.CloseReason = "idle"
-	closedSpared    httpio.CloseReason = "too many idle"
-	closedPlace     httpio.CloseReason = "its place is needed"
-	closedEnding    httpio.CloseReason = "the program ends"
-	closedAway      httpio.CloseReason = "out of service"
-	closedNoPlace   httpio.CloseReason = "no place"
-	closedBad       httpio.CloseReason = "request cannot be read"
-	closedFlood     httpio.CloseReason = "more sent than may wait"
-	closedLate      httpio.CloseReason = "no answer in time"
-	closedUnwritten httpio.CloseReason = "answer not written"
-	closedAsked     httpio.CloseReason = "asked for by the client"
+	closedByClient     httpio.CloseReason = "closed by the client"
+	closedIdle         httpio.CloseReason = "idle"
+	closedExcessIdle   httpio.CloseReason = "too many idle"
+	closedEvicted      httpio.CloseReason = "its place is needed"
+	closedShutdown     httpio.CloseReason = "the program ends"
+	closedOutOfService httpio.CloseReason = "out of service"
+	closedNoSlot       httpio.CloseReason = "no place"
+	closedUnreadable   httpio.CloseReason = "request cannot be read"
+	closedOverflow     httpio.CloseReason = "more sent than may wait"
+	closedTimeout      httpio.CloseReason = "no answer in time"
+	closedWriteFailed  httpio.CloseReason = "answer not written"
+	closedOnRequest    httpio.CloseReason = "asked for by the client"
 )
 
-// part closes a connection of which nothing more is taken.
-func (l *Listener) part(x *connectionSlot, reason httpio.CloseReason) {
-	x.reason = reason
-	if l.slots.close(x) {
-		httpio.CloseGently(x.conn, l.Clock.Deadline(lingerFor))
+// closeGently closes a connection from which nothing more is accepted.
+func (l *Listener) closeGently(slot *connectionSlot, reason httpio.CloseReason) {
+	slot.reason = reason
+	if l.slots.close(slot) {
+		httpio.CloseGently(slot.conn, l.Clock.Deadline(lingerTimeout))
 	}
 }
 
-// whyEnded says why a connection is closed between requests.
-func (s *connectionSlots) whyEnded(x *connectionSlot) httpio.CloseReason {
+// idleCloseReason returns why a connection is closed between requests.
+func (s *connectionSlots) idleCloseReason(slot *connectionSlot) httpio.CloseReason {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
-	case x.taken:
-		return closedPlace
-	case s.ending:
-		return closedEnding
-	case s.away:
-		return closedAway
-	case x.ended:
-		return closedSpared
+	case slot.evicted:
+		return closedEvicted
+	case s.shuttingDown:
+		return closedShutdown
+	case s.outOfService:
+		return closedOutOfService
+	case slot.closeRequested:
+		return closedExcessIdle
 	}
 	return closedIdle
 }
 
-// whyLast says why a connection is closed once its request is answered.
-func (s *connectionSlots) whyLast(x *connectionSlot, asked, flooded bool) httpio.CloseReason {
+// lastCloseReason returns why a connection is closed after the response to its request.
+func (s *connectionSlots) lastCloseReason(slot *connectionSlot, requested, overflowed bool) httpio.CloseReason {
 	switch {
-	case flooded:
-		return closedFlood
-	case asked:
-		return closedAsked
+	case overflowed:
+		return closedOverflow
+	case requested:
+		return closedOnRequest
 	}
-	return s.whyEnded(x)
+	return s.idleCloseReason(slot)
 }
--- a/internal/net/listener/connectionslots.go
+++ b/internal/net/listener/connectionslots.go
@@ -7,244 +7,245 @@
 	"cottonwell/internal/net/httpio"
 )
 
-// standing is what a connection stands for at a moment.
-type standing int
+// slotState is the state of a connection.
+type slotState int
 
 const (
-	fresh   standing = iota // nothing has come on it yet
-	reading                 // a request is coming
-	serving                 // a request is there and not yet answered
-	resting                 // between requests
-	closing                 // nothing that comes is taken any more; it closes in a moment
+	awaitingFirst slotState = iota // no byte is received yet
+	reading                        // a request is being received
+	serving                        // a request is received and has no response yet
+	idle                           // between requests
+	closing                        // nothing more is accepted from it, and it is about to close
 )
 
-// connectionSlot is a connection's place in the listener's budget of sockets.
+// connectionSlot is a connection's slot in the listener's socket budget.
 type connectionSlot struct {
-	conn  *httpio.Conn
-	state standing
-	since float64 // of that state; for one without a request so far, of the connection
-	job   bool    // it has brought a job
-	taken bool    // the place went to another connection
-	ended bool    // told to close, as it rested too long or the program ends
-	// reason is why it closes; only its own goroutine writes it.
+	conn           *httpio.Conn
+	state          slotState
+	stateSince     float64 // start of the state, in ms; until the first request is received, start of the connection
+	hadJob         bool    // it has carried a job
+	evicted        bool    // its slot now belongs to another connection
+	closeRequested bool    // it was idle too long, or the process is shutting down
+	// reason is why the connection closes. Only the connection's own goroutine writes it.
 	reason httpio.CloseReason
 }
 
-// connectionSlots are the connections of a listener. A full house never keeps a new one waiting
-// while some places are held by connections that bring nothing: call-backs come to the
-// same address, and without them no job ends.
+// connectionSlots manages the connections of a listener. When all slots are taken, a new connection gets the slot
+// of an inactive one rather than wait: call-backs arrive at the same address, and without them no job ends.
 //
-// Nobody but its own goroutine closes a connection (at the very end apart): whoever wants it closed marks the
-// slot and wakes the reader, which looks whether a request had come by then. Were it closed from outside, a
-// request that was just being read would be taken and never answered.
+// Only a connection's own goroutine closes it, except at the very end. Other goroutines mark the slot and wake the
+// reader, which first checks whether a request has arrived. If they closed the connection themselves, a request that
+// is just being read would be accepted and get no response.
 type connectionSlots struct {
-	clock  clock.Clock
-	budget *httpio.Budget
-	counts *Counts
-	rests  int // so many connections may rest between jobs
+	clock   clock.Clock
+	budget  *httpio.Budget
+	counts  *Counts
+	maxIdle int // connections that may be idle between jobs
 
-	mu     sync.Mutex
-	ending bool // the program ends
-	away   bool // the scheduler is out of service
-	shut   bool // none may wait for a first request any more
-	all    map[*connectionSlot]bool
-	going  int // slots whose places are taken and whose connections still close
+	mu              sync.Mutex
+	shuttingDown    bool // set by drain
+	outOfService    bool // set by setOutOfService
+	noFirstRequests bool // connections may no longer wait for a first request
+	open            map[*connectionSlot]bool
+	evicting        int // slots that were evicted and whose connections are not closed yet
 }
 
-// sit takes a place, if need be that of the connection that is worth least.
+// acquire takes a slot for a connection, if necessary that of the connection with the lowest eviction rank.
 func (s *connectionSlots) acquire(c *httpio.Conn) (*connectionSlot, bool) {
 	if !s.budget.TryTake() && !s.evict() {
 		return nil, false
 	}
-	x := &connectionSlot{conn: c, since: s.clock.Now(), reason: closedByClient}
+	slot := &connectionSlot{conn: c, stateSince: s.clock.Now(), reason: closedByClient}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.all[x] = true
-	return x, true
+	s.open[slot] = true
+	return slot, true
 }
 
-// release closes a connection and gives its place back.
-func (s *connectionSlots) release(x *connectionSlot) {
+// release closes a connection and returns its slot to the budget, unless the slot was evicted.
+func (s *connectionSlots) release(slot *connectionSlot) {
 	s.mu.Lock()
-	delete(s.all, x)
-	taken := x.taken
-	if taken {
-		s.going--
+	delete(s.open, slot)
+	evicted := slot.evicted
+	if evicted {
+		s.evicting--
 	}
 	s.mu.Unlock()
-	if taken && x.reason == closedByClient { // it was closed from here, by evict
-		x.reason = closedPlace
+	if evicted && slot.reason == closedByClient { // evict closed it in this process
+		slot.reason = closedEvicted
 	}
-	s.counts.Closes.Note(x.reason)
-	x.conn.Close()
-	if !taken {
+	s.counts.Closes.Note(slot.reason)
+	slot.conn.Close()
+	if !evicted {
 		s.budget.Give()
 	}
 }
 
-// move notes what x stands for now, and until when, in milliseconds from now, what comes next must have come.
-// It returns false if x should rather be closed: its place is taken, or it comes to rest or waits for a first
-// request when the program no longer lets it.
-func (s *connectionSlots) move(x *connectionSlot, to standing, job bool, within float64) bool {
+// setState sets the state of a slot and the time in milliseconds in which the next bytes must arrive. It returns
+// false if the connection has to close: its slot was evicted, or it becomes idle or waits for a first request when
+// that is no longer allowed.
+func (s *connectionSlots) setState(slot *connectionSlot, state slotState, job bool, timeout float64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if to != reading || x.job {
-		x.since = s.clock.Now()
+	if state != reading || slot.hadJob {
+		slot.stateSince = s.clock.Now()
 	}
-	x.state = to
-	x.job = x.job || job
-	if to == resting && x.job {
-		s.spare()
+	slot.state = state
+	slot.hadJob = slot.hadJob || job
+	if state == idle && slot.hadJob {
+		s.limitIdle()
 	}
-	// The deadline is set under the lock, or it could undo a waking.
-	return !x.taken && !(to == resting && (s.drains() || x.ended)) && !(to == fresh && s.shut) &&
-		x.conn.SetReadDeadline(s.clock.Deadline(within)) == nil
+	// The deadline is set under the lock, or it could undo a Wake.
+	return !slot.evicted && !(state == idle && (s.closesIdle() || slot.closeRequested)) && !(state == awaitingFirst && s.noFirstRequests) &&
+		slot.conn.SetReadDeadline(s.clock.Deadline(timeout)) == nil
 }
 
-// close notes that nothing more is taken from x, and says whether there is time to close it gently: a place
-// that is taken soon makes one connection too many, and there may be only so many of them.
-func (s *connectionSlots) close(x *connectionSlot) (gently bool) {
+// close records that nothing more is accepted from a connection, and reports whether it may be closed gently. An
+// evicted connection exceeds the socket budget until it is closed, and at most maxOverBudget of them may.
+func (s *connectionSlots) close(slot *connectionSlot) (gently bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	x.state = closing
-	return !x.taken || s.going <= overMost
+	slot.state = closing
+	return !slot.evicted || s.evicting <= maxOverBudget
 }
 
-// end has the owner of x close it, unless a request has come by then.
-func (x *connectionSlot) end() {
-	x.ended = true
+// requestClose makes the goroutine of the connection close it, unless a request has arrived by then.
+func (x *connectionSlot) requestClose() {
+	x.closeRequested = true
 	x.conn.Wake()
 }
 
-// spare ends the connection that has rested longest between jobs, if too many do. Clients
-// may only hold so many, and some never use theirs again; left open, those leave none for the
-// requests that wait there. A closing that crosses a request costs the client a new connection.
-func (s *connectionSlots) spare() {
+// limitIdle requests the close of the connection that has been idle longest between jobs, if there are more than
+// maxIdle. A client may hold a limited number of connections, and some clients never reuse theirs. Left open,
+// those leave none for the requests that wait at the client. A close that crosses a request costs the client a new
+// connection.
+func (s *connectionSlots) limitIdle() {
 	n := 0
 	var oldest *connectionSlot
-	for x := range s.all {
-		if x.state == resting && x.job && !x.taken && !x.ended {
-			if n++; oldest == nil || x.since < oldest.since {
-				oldest = x
+	for slot := range s.open {
+		if slot.state == idle && slot.hadJob && !slot.evicted && !slot.closeRequested {
+			if n++; oldest == nil || slot.stateSince < oldest.stateSince {
+				oldest = slot
 			}
 		}
 	}
-	if n > s.rests {
-		oldest.end()
+	if n > s.maxIdle {
+		oldest.requestClose()
 		s.counts.Spared.Add(1)
 	}
 }
 
-// worth ranks connections whose place may be taken; 0 is none of them. One that has been
-// answered and never brought a job loses nothing. One that has not sent a whole request yet
-// is next, as clients send at once when they connect. A client that brings jobs keeps its
-// connection between them by right, so it goes last.
-func (x *connectionSlot) worth() int {
+// evictionRank returns in which order slots may be evicted, the lowest first; 0 means never. Rank 1 is a
+// connection that got its responses and never carried a job: its client loses nothing. Rank 2 has not sent a whole
+// request yet, although clients send at once after connecting. Rank 3 is idle between jobs: its client may keep
+// the connection, so it goes last.
+func (x *connectionSlot) evictionRank() int {
 	switch {
-	case (x.state == resting || x.state == closing) && !x.job:
+	case (x.state == idle || x.state == closing) && !x.hadJob:
 		return 1
-	case !x.job && (x.state == fresh || x.state == reading):
+	case !x.hadJob && (x.state == awaitingFirst || x.state == reading):
 		return 2
-	case x.state == resting:
+	case x.state == idle:
 		return 3
 	}
 	return 0
 }
 
-// evict ends the connection that is worth least, among equals the one that has stood so
-// for longest, and keeps its place in the budget.
+// evict ends the connection with the lowest rank, among equals the one longest in its state, and leaves its place
+// in the budget to the caller.
 func (s *connectionSlots) evict() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var least *connectionSlot
-	for x := range s.all {
-		if w := x.worth(); w > 0 && !x.taken && !x.ended &&
-			(least == nil || w < least.worth() || w == least.worth() && x.since < least.since) {
-			least = x
+	var candidate *connectionSlot
+	for slot := range s.open {
+		if rank := slot.evictionRank(); rank > 0 && !slot.evicted && !slot.closeRequested &&
+			(candidate == nil || rank < candidate.evictionRank() || rank == candidate.evictionRank() && slot.stateSince < candidate.stateSince) {
+			candidate = slot
 		}
 	}
-	if least == nil {
+	if candidate == nil {
 		return false
 	}
-	least.taken = true
-	s.going++
+	candidate.evicted = true
+	s.evicting++
 	s.counts.Evicted.Add(1)
-	if s.going > 2*overMost {
-		least.conn.Close() // too many that close slowly: descriptors come first
+	if s.evicting > 2*maxOverBudget {
+		candidate.conn.Close() // too many close slowly, and the limit on file descriptors takes precedence
 		return true
 	}
-	least.conn.Wake()
+	candidate.conn.Wake()
 	return true
 }
 
-// busy is how many requests are being read, served or answered, and how many connections close.
+// busy returns the number of connections on which a request is read or served, or that are closing. Once first
+// requests are no longer awaited, it includes those that still wait for one.
 func (s *connectionSlots) busy() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
-	for x := range s.all {
-		if x.state == reading || x.state == serving || x.state == closing || x.state == fresh && s.shut {
+	for slot := range s.open {
+		if slot.state == reading || slot.state == serving || slot.state == closing || slot.state == awaitingFirst && s.noFirstRequests {
 			n++
 		}
 	}
 	return n
 }
 
-// drains says whether none may come to rest any more.
-func (s *connectionSlots) drains() bool { return s.ending || s.away }
+// closesIdle reports whether connections may no longer become idle.
+func (s *connectionSlots) closesIdle() bool { return s.shuttingDown || s.outOfService }
 
-// drain ends what rests as the program ends, and makes move say so of each further one that comes to rest; at last also
-// what waits for a first request.
-func (s *connectionSlots) drain(last bool) {
+// drain closes the idle connections, and makes setState return false for each that becomes idle later. With
+// endFirstRequests it does the same for those that wait for a first request.
+func (s *connectionSlots) drain(endFirstRequests bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ending, s.shut = true, s.shut || last
-	s.endResting()
+	s.shuttingDown, s.noFirstRequests = true, s.noFirstRequests || endFirstRequests
+	s.closeIdle()
 }
 
-// leave ends what rests, and each further one that comes to rest, until the scheduler is back.
-func (s *connectionSlots) leave(away bool) {
+// setOutOfService closes the idle connections, and each that becomes idle later, until it is called with false.
+func (s *connectionSlots) setOutOfService(outOfService bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.away = away; away {
-		s.endResting()
+	if s.outOfService = outOfService; outOfService {
+		s.closeIdle()
 	}
 }
 
-func (s *connectionSlots) endResting() {
-	for x := range s.all {
-		if x.state == resting || x.state == fresh && s.shut {
-			x.end()
+func (s *connectionSlots) closeIdle() {
+	for slot := range s.open {
+		if slot.state == idle || slot.state == awaitingFirst && s.noFirstRequests {
+			slot.requestClose()
 		}
 	}
 }
 
-// isEnding says whether drain was called.
-func (s *connectionSlots) isEnding() bool {
+// isShuttingDown reports whether drain was called.
+func (s *connectionSlots) isShuttingDown() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.ending
+	return s.shuttingDown
 }
 
-// isAway says whether the scheduler is out of service.
-func (s *connectionSlots) isAway() bool {
+// isOutOfService reports whether the scheduler is out of service.
+func (s *connectionSlots) isOutOfService() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.away
+	return s.outOfService
 }
 
-// parting says whether x should close once what has come on it is answered.
-func (s *connectionSlots) parting(x *connectionSlot) bool {
+// mustClose reports whether the connection has to close after the response to its request.
+func (s *connectionSlots) mustClose(slot *connectionSlot) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.drains() || x.ended || x.taken
+	return s.closesIdle() || slot.closeRequested || slot.evicted
 }
 
 // closeAll closes every connection.
 func (s *connectionSlots) closeAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for x := range s.all {
-		x.conn.Close()
+	for slot := range s.open {
+		slot.conn.Close()
 	}
 }
--- a/internal/net/listener/crossing_test.go
+++ b/internal/net/listener/crossing_test.go
@@ -16,20 +16,20 @@
 )
 
 const (
-	ask   = "GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
-	ready = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nready\n"
-	last  = "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 6\r\n\r\nready\n"
-	full  = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nConnection: close\r\nContent-Length: 18\r\n\r\nrefused: no place\n"
+	upRequest      = "GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
+	readyResponse  = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nready\n"
+	lastResponse   = "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 6\r\n\r\nready\n"
+	noSlotResponse = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nConnection: close\r\nContent-Length: 18\r\n\r\nrefused: no place\n"
 )
 
-// crossing is the listener's end of a connection. As a read on it has run out of time, the other side sends.
-type crossing struct {
+// crossingConn is the listener's end of a connection. When a read on it times out, the other side sends.
+type crossingConn struct {
 	*net.TCPConn
 	cross chan func()
 	reads chan struct{}
 }
 
-func (c *crossing) Read(b []byte) (int, error) {
+func (c *crossingConn) Read(b []byte) (int, error) {
 	select {
 	case c.reads <- struct{}{}:
 	default:
@@ -46,8 +46,8 @@
 	return n, err
 }
 
-// await waits until what was sent is there.
-func (c *crossing) await() {
+// await waits until the sent bytes have arrived.
+func (c *crossingConn) await() {
 	raw, _ := c.SyscallConn()
 	for n := 0; n <= 0; time.Sleep(time.Millisecond) {
 		_ = raw.Control(func(fd uintptr) {
@@ -56,32 +56,33 @@
 	}
 }
 
-// crossings accepts connections of that kind. Whatever the client sends in cross, it sends at the first wait that ends.
-type crossings struct {
+// crossingListener accepts crossingConns. The client sends the function in cross at the first read that times out.
+type crossingListener struct {
 	net.Listener
 	cross chan func()
-	reads chan struct{} // told once a connection is being read, and so waits for a request
+	reads chan struct{} // receives once a connection is being read, and so waits for a request
 }
 
-func (l *crossings) Accept() (net.Conn, error) {
+func (l *crossingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &crossing{c.(*net.TCPConn), l.cross, l.reads}, nil
+	return &crossingConn{c.(*net.TCPConn), l.cross, l.reads}, nil
 }
 
-// A connection is ended while a request arrives on it: it is answered whole, and then closed. Before, it was closed
-// over the request, which had been there for as long as the program was late.
+// A request arrives on a connection that is being closed: it gets its whole response, and then the connection is
+// closed. The fault: the listener closed the connection over a request that had arrived before and was not read
+// yet.
 func TestRequestThatCrossesTheEndOfItsConnection(t *testing.T) {
 	for name, c := range map[string]struct {
-		asked bool // the connection has been used
+		asked bool // the connection has carried a request
 		end   func(l *Listener, dial func() net.Conn)
 		want  string
 	}{
-		"at rest, as the program winds down":         {true, func(l *Listener, _ func() net.Conn) { l.Wind() }, last},
-		"at rest, as its place goes to another":      {true, func(_ *Listener, dial func() net.Conn) { dial() }, full},
-		"waiting for its first, as the program ends": {false, func(l *Listener, _ func() net.Conn) { l.Shut() }, last},
+		"idle, during graceful shutdown":  {true, func(l *Listener, _ func() net.Conn) { l.Wind() }, lastResponse},
+		"idle, as its slot is evicted":    {true, func(_ *Listener, dial func() net.Conn) { dial() }, noSlotResponse},
+		"awaiting its first, at shutdown": {false, func(l *Listener, _ func() net.Conn) { l.Shut() }, lastResponse},
 	} {
 		t.Run(name, func(t *testing.T) {
 			ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -91,50 +92,50 @@
 			l.SetReady(true)
 			ctx, cancel := context.WithCancel(context.Background())
 			done := make(chan struct{})
-			go func() { defer close(done); _ = l.Serve(ctx, &crossings{ln, cross, reads}) }()
+			go func() { defer close(done); _ = l.Serve(ctx, &crossingListener{ln, cross, reads}) }()
 			t.Cleanup(func() { cancel(); <-done })
 			dial := func() net.Conn { return dialed(t, ln) }
 
 			client := dial()
 			if c.asked {
-				require.NoError(t, talk(client, ask, ready))
-				require.Eventually(t, func() bool { return l.resting() == 1 }, 10*time.Second, time.Millisecond)
+				require.NoError(t, roundTrip(client, upRequest, readyResponse))
+				require.Eventually(t, func() bool { return l.idleCount() == 1 }, 10*time.Second, time.Millisecond)
 			} else {
-				<-reads // before that it is not waiting, and may be ended without a request
+				<-reads // before that the connection is not waiting, and may be closed without a request
 			}
-			cross <- func() { _, _ = io.WriteString(client, ask) }
+			cross <- func() { _, _ = io.WriteString(client, upRequest) }
 			c.end(l, dial)
-			require.NoError(t, talk(client, "", c.want))
+			require.NoError(t, roundTrip(client, "", c.want))
 			_, err = client.Read(make([]byte, 1))
-			require.ErrorIs(t, err, io.EOF, "ended, and not reset")
+			require.ErrorIs(t, err, io.EOF, "closed, not reset")
 		})
 	}
 }
 
-// A connection that comes as the program ends may bring its request with it.
+// A connection that arrives during the shutdown may already carry its request.
 func TestRequestThatComesAfterTheEnd(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	client := dialed(t, ln)
-	_, err = io.WriteString(client, ask)
+	_, err = io.WriteString(client, upRequest)
 	require.NoError(t, err)
 	l := New(nil, clock.NewManual(1e6), slog.New(slog.NewTextHandler(io.Discard, nil)), httpio.NewStack(), nil, httpio.NewBudget(1))
 	l.SetReady(true)
 	l.Shut()
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	go func() { defer close(done); _ = l.Serve(ctx, &arrived{ln}) }()
+	go func() { defer close(done); _ = l.Serve(ctx, &arrivedListener{ln}) }()
 	t.Cleanup(func() { cancel(); <-done })
-	require.NoError(t, talk(client, "", last))
+	require.NoError(t, roundTrip(client, "", lastResponse))
 }
 
-// arrived accepts a connection once its first bytes are there.
-type arrived struct{ net.Listener }
+// arrivedListener accepts a connection once its first bytes have arrived.
+type arrivedListener struct{ net.Listener }
 
-func (l *arrived) Accept() (net.Conn, error) {
+func (l *arrivedListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err == nil {
-		(&crossing{TCPConn: c.(*net.TCPConn)}).await()
+		(&crossingConn{TCPConn: c.(*net.TCPConn)}).await()
 	}
 	return c, err
 }
@@ -147,22 +148,22 @@
 	return c
 }
 
-// talk sends, and says what is wrong with what comes back.
-func talk(c net.Conn, send, want string) error {
+// roundTrip sends, and returns an error if the received bytes differ from want.
+func roundTrip(c net.Conn, send, want string) error {
 	if _, err := io.WriteString(c, send); err != nil {
 		return err
 	}
 	got := make([]byte, len(want))
 	n, err := io.ReadFull(c, got)
 	if string(got[:n]) != want {
-		return &other{string(got[:n]), err}
+		return &mismatch{string(got[:n]), err}
 	}
 	return nil
 }
 
-type other struct {
+type mismatch struct {
 	got string
 	err error
 }
 
-func (o *other) Error() string { return "came: " + o.got + ": " + o.err.Error() }
+func (o *mismatch) Error() string { return "received: " + o.got + ": " + o.err.Error() }
--- a/internal/net/listener/listener.go
+++ b/internal/net/listener/listener.go
@@ -1,5 +1,7 @@
-// Package listener is the clients' side of the platform's protocol: jobs, the readiness
-// page, and the call-backs by which targets tell what becomes of a job.
+// Package listener serves the clients' side of the platform's protocol over HTTP: jobs, the readiness page, and
+// the call-backs by which targets report the progress and outcome of a job. It is given accepted connections and a
+// budget of sockets. It passes each valid job and call-back to the core, and writes the core's answer as the
+// response. It chooses no targets and keeps no state of a job beyond its connection.
 package listener
 
 import (
@@ -21,91 +23,91 @@
 )
 
 const (
-	idleFor   = 120_000.0 // milliseconds that a connection that has brought a job may rest
-	spareFor  = 5_000.0   // that one may rest that has brought none
-	readFor   = 2_400.0   // from connecting to a first request's last byte; later, from its first byte
-	writeFor  = 2_000.0
-	restShare = 5       // of the places, one in so many may rest between jobs
-	lingerFor = 400.0   // for a client to end a connection of which we have ended our side
-	overMost  = 16      // connections over the budget that may close gently; as many may be turned off in words
-	spare     = 5_000.0 // how much longer than its client's patience a flow may take before its connection is dropped
+	idleTimeout      = 120_000.0 // milliseconds that a connection may be idle after it has carried a job
+	noJobIdleTimeout = 5_000.0   // milliseconds that a connection may be idle that has not
+	readTimeout      = 2_400.0   // milliseconds, from connecting to the first request's last byte; for later requests, from their first byte
+	writeTimeout     = 2_000.0   // milliseconds
+	idleDivisor      = 5         // one in idleDivisor of the slots may be idle between jobs
+	lingerTimeout    = 400.0     // milliseconds for a client to close a connection whose sending side this process has closed
+	maxOverBudget    = 16        // connections beyond the budget that may close gently; as many more may receive a response that there is no slot
+	flowGrace        = 5_000.0   // milliseconds beyond the client's deadline after which a flow's connection is closed
 )
 
-// Scheduler is what the listener needs of the core.
+// Scheduler is the part of the core that the listener uses.
 type Scheduler interface {
 	TakeIn(*core.Request) core.Ticket
 	News(core.TargetNews)
 }
 
-// Listener accepts clients and targets' call-backs at one address.
+// Listener accepts clients' connections and targets' call-backs at one address.
 type Listener struct {
 	Core  Scheduler
 	Clock clock.Clock
 	Log   *slog.Logger
 	Stack *httpio.Stack
-	// Classes are the classes of requests by name.
+	// Classes are the request classes by name.
 	Classes map[string]Class
 
 	Counts Counts
 
-	ready   atomic.Bool
-	slots   connectionSlots
-	turning atomic.Int64 // connections that are told that there is no place
+	ready     atomic.Bool
+	slots     connectionSlots
+	rejecting atomic.Int64 // connections that are receiving the response that there is no slot
 }
 
-// Counts are a listener's figures, for the log: requests answered with an error of the
-// client's, places taken from connections that brought least, connections closed as too many
-// rested, and connections closed for want of a place.
+// Counts are the counters of a listener, for the log. Rejected counts requests with a client error, Evicted the
+// slots taken from inactive connections, Spared the connections closed because too many were idle, and TurnedOff
+// those rejected for lack of a slot.
 type Counts struct {
 	Rejected, Evicted, Spared, TurnedOff atomic.Int64
 	Closes                               httpio.Closes
 }
 
-// Class is what the listener needs to know of a class.
+// Class is the listener's part of a class's settings.
 type Class struct {
-	Patience float64 // of a client that tells none, in milliseconds
-	Keyed    bool    // its jobs must have a key
+	Patience float64 // client timeout in milliseconds where the request has none
+	Keyed    bool    // its jobs must have an Idempotency-Key
 }
 
-// New makes a listener ready to serve, with a budget for its connections.
+// New returns a listener with a socket budget for its connections.
 func New(core Scheduler, clk clock.Clock, log *slog.Logger, stack *httpio.Stack, classes map[string]Class, sockets *httpio.Budget) *Listener {
 	l := &Listener{Core: core, Clock: clk, Log: log, Stack: stack, Classes: classes}
-	l.slots = connectionSlots{clock: clk, budget: sockets, counts: &l.Counts, rests: max(1, sockets.Size()/restShare), all: map[*connectionSlot]bool{}}
+	l.slots = connectionSlots{clock: clk, budget: sockets, counts: &l.Counts, maxIdle: max(1, sockets.Size()/idleDivisor), open: map[*connectionSlot]bool{}}
 	return l
 }
 
-// SetReady says what the readiness page answers.
+// SetReady sets what the readiness page reports.
 func (l *Listener) SetReady(ready bool) { l.ready.Store(ready) }
 
-// Wind closes connections that stand between requests, and each further one once it
-// has its answer. New ones are still accepted: targets call back until the end.
+// Wind starts the graceful shutdown: it closes the idle connections, and each further one after its response. The
+// listener still accepts new connections, as targets call back until the end.
 func (l *Listener) Wind() { l.slots.drain(false) }
 
-// Shut closes those too that still wait for a first request, and each new one on which none has come. What has
-// come is served.
+// Shut also closes the connections that still wait for a first request, and each new one without a pending
+// request. Requests that have arrived are served.
 func (l *Listener) Shut() { l.slots.drain(true) }
 
-// Winding says whether Wind was called.
-func (l *Listener) Winding() bool { return l.slots.isEnding() }
+// Winding reports whether Wind was called.
+func (l *Listener) Winding() bool { return l.slots.isShuttingDown() }
 
-// Busy is how many requests are being read, served or answered, and how many connections close; after Shut
-// also how many wait for a first request.
+// Busy returns the number of connections on which a request is read or served, or that are closing. After Shut it
+// includes those that wait for a first request.
 func (l *Listener) Busy() int { return l.slots.busy() }
 
-// Serve accepts connections until ctx ends, then closes what is left. Once Accept has failed by a deadline, it accepts none
-// any more.
+// Serve accepts connections until ctx ends, then closes the remaining ones. After Accept has failed with a
+// deadline, it accepts no more connections and serves the open ones.
 func (l *Listener) Serve(ctx context.Context, ln net.Listener) error {
-	var all sync.WaitGroup
-	defer all.Wait()
+	var handlers sync.WaitGroup
+	defer handlers.Wait()
 	stop := context.AfterFunc(ctx, func() {
 		ln.Close()
 		l.slots.closeAll()
 	})
 	defer stop()
 	for {
-		nc, err := ln.Accept()
+		conn, err := ln.Accept()
 		if err != nil {
-			if errors.Is(err, os.ErrDeadlineExceeded) { // nothing more is to be accepted; what was goes on
+			if errors.Is(err, os.ErrDeadlineExceeded) { // no more connections are accepted, and the open ones continue
 				ln.Close()
 				<-ctx.Done()
 			}
@@ -113,124 +115,125 @@
 				return nil
 			}
 			l.Log.Error("cannot accept", "cause", err)
-			l.pause(ctx) // out of descriptors, perhaps: to try again at once would only burn the core
+			l.pause(ctx) // perhaps out of file descriptors: an immediate retry would only use up the CPU
 			continue
 		}
-		slot, ok := l.slots.acquire(l.Stack.Wrap(nc))
+		slot, ok := l.slots.acquire(l.Stack.Wrap(conn))
 		if !ok {
-			// Every place has a request in work. To leave the connection waiting would keep call-backs
-			// waiting behind it, too; a target tries its call again.
+			// Every slot has a request in progress. Leaving the connection in the queue would also delay the
+			// call-backs behind it. A target retries its call-back.
 			l.Counts.TurnedOff.Add(1)
-			l.Counts.Closes.Note(closedNoPlace)
-			l.turnOff(&all, nc)
+			l.Counts.Closes.Note(closedNoSlot)
+			l.rejectConn(&handlers, conn)
 			continue
 		}
-		all.Go(func() { l.serve(ctx, slot) })
+		handlers.Go(func() { l.serve(ctx, slot) })
 	}
 }
 
+// pause waits 20 ms, or until ctx ends.
 func (l *Listener) pause(ctx context.Context) {
-	a := l.Clock.NewAlarm()
-	defer a.Stop()
-	a.Set(l.Clock.Now() + 20)
+	alarm := l.Clock.NewAlarm()
+	defer alarm.Stop()
+	alarm.Set(l.Clock.Now() + 20)
 	select {
-	case <-a.C():
+	case <-alarm.C():
 	case <-ctx.Done():
 	}
 }
 
-// turnOff refuses whatever is asked on a connection for which there is no place. To close it with a request
-// unread would reset it, and its client would not know that to try again is harmless. When many come at once
-// the rest are only closed.
-func (l *Listener) turnOff(all *sync.WaitGroup, nc net.Conn) {
-	if l.turning.Add(1) > overMost {
-		l.turning.Add(-1)
-		nc.Close()
+// rejectConn refuses any request on a connection for which there is no slot. Closing with an unread request would
+// reset the connection, and its client would not know that a retry is safe. If more than maxOverBudget arrive at
+// once, the others are only closed.
+func (l *Listener) rejectConn(handlers *sync.WaitGroup, conn net.Conn) {
+	if l.rejecting.Add(1) > maxOverBudget {
+		l.rejecting.Add(-1)
+		conn.Close()
 		return
 	}
-	all.Go(func() {
-		defer l.turning.Add(-1)
-		l.reply(l.Stack.Wrap(nc), noPlace())
-		httpio.CloseGently(nc, l.Clock.Deadline(lingerFor))
+	handlers.Go(func() {
+		defer l.rejecting.Add(-1)
+		l.reply(l.Stack.Wrap(conn), noSlotReply())
+		httpio.CloseGently(conn, l.Clock.Deadline(lingerTimeout))
 	})
 }
 
-func noPlace() reply {
+func noSlotReply() reply {
 	return reply{status: http.StatusServiceUnavailable, retryAfter: 1000, text: "refused: no place\n", close: true}
 }
 
-// serve takes the requests of one connection, one after the other.
-func (l *Listener) serve(ctx context.Context, x *connectionSlot) {
-	defer l.slots.release(x)
-	c := x.conn
-	// A new connection may have its first request on the way, so it is not closed unread while
-	// the program winds down, but a silent one must not hold its place.
-	if !l.slots.move(x, fresh, false, readFor) && !come(c) {
-		l.part(x, l.slots.whyEnded(x))
+// serve handles the requests of one connection, one after the other.
+func (l *Listener) serve(ctx context.Context, slot *connectionSlot) {
+	defer l.slots.release(slot)
+	c := slot.conn
+	// A new connection may have its first request on the way, so a graceful shutdown does not close it unread. A
+	// silent connection must not keep its slot.
+	if !l.slots.setState(slot, awaitingFirst, false, readTimeout) && !dataPending(c) {
+		l.closeGently(slot, l.slots.idleCloseReason(slot))
 		return
 	}
-	begun := l.Clock.Now()
+	connectedAt := l.Clock.Now()
 	for ctx.Err() == nil {
 		if err := c.Await(); err != nil {
 			if !httpio.TimedOut(err) {
 				return
 			}
-			// Nothing came in time, or the connection was told to end; but a request may have come in that moment.
-			if !come(c) {
-				l.part(x, l.slots.whyEnded(x))
+			// The deadline has passed, or Wake was called. A request may have arrived at the same moment.
+			if !dataPending(c) {
+				l.closeGently(slot, l.slots.idleCloseReason(slot))
 				return
 			}
 		}
-		within := readFor
-		if begun > 0 {
-			within, begun = readFor-(l.Clock.Now()-begun), 0
+		timeout := readTimeout
+		if connectedAt > 0 {
+			timeout, connectedAt = readTimeout-(l.Clock.Now()-connectedAt), 0
 		}
-		if !l.slots.move(x, reading, false, within) { // its place is taken, and what has come is refused unread
-			l.reply(c, noPlace())
-			l.part(x, closedPlace)
+		if !l.slots.setState(slot, reading, false, timeout) { // its slot was evicted, and what has arrived is refused unread
+			l.reply(c, noSlotReply())
+			l.closeGently(slot, closedEvicted)
 			return
 		}
-		req, body, err := c.ReadRequest(l.Clock.Deadline(writeFor))
+		req, body, err := c.ReadRequest(l.Clock.Deadline(writeTimeout))
 		if err != nil {
 			if l.reject(c, err) {
-				l.part(x, closedBad)
+				l.closeGently(slot, closedUnreadable)
 			}
 			return
 		}
-		if !l.slots.move(x, serving, false, readFor) {
+		if !l.slots.setState(slot, serving, false, readTimeout) {
 			body.Release()
-			l.reply(c, noPlace())
-			l.part(x, closedPlace)
+			l.reply(c, noSlotReply())
+			l.closeGently(slot, closedEvicted)
 			return
 		}
-		if !l.answer(x, req, body) {
+		if !l.handle(slot, req, body) {
 			return
 		}
 	}
 }
 
-// rest readies a connection for its next request, and says whether it may come. One that has come already is
-// served, whatever became of the connection meanwhile.
-func (l *Listener) rest(x *connectionSlot, job bool) bool {
-	idle := spareFor
-	if job || x.job {
-		idle = idleFor
+// awaitNext prepares a connection for its next request, and reports whether it stays open. A request that has
+// already arrived is served, even if the connection is marked to close.
+func (l *Listener) awaitNext(slot *connectionSlot, job bool) bool {
+	timeout := noJobIdleTimeout
+	if job || slot.hadJob {
+		timeout = idleTimeout
 	}
-	if l.slots.move(x, resting, job, idle) || come(x.conn) {
+	if l.slots.setState(slot, idle, job, timeout) || dataPending(slot.conn) {
 		return true
 	}
-	l.part(x, l.slots.whyEnded(x))
+	l.closeGently(slot, l.slots.idleCloseReason(slot))
 	return false
 }
 
-// come says whether something has come on a connection that is about to be closed. It is served then, or refused:
-// its sender may have sent it long before, and only the program was late to read it.
-func come(c *httpio.Conn) bool {
-	here, _ := c.Look()
-	return here
+// dataPending reports whether data has arrived on a connection that is about to be closed. That request is then
+// served or refused: its client may have sent it long before, and only this process was late to read it.
+func dataPending(c *httpio.Conn) bool {
+	pending, _ := c.Look()
+	return pending
 }
 
-// reject answers what could not be read, if there may be somebody to answer, and says whether.
+// reject writes the response to a request that could not be read. It returns false if nothing could be written.
 func (l *Listener) reject(c *httpio.Conn, err error) bool {
 	l.Counts.Rejected.Add(1)
 	l.Log.Debug("rejected", "peer", c.RemoteAddr(), "cause", err)
@@ -251,15 +254,15 @@
 	return l.reply(c, r)
 }
 
-// answer serves one request and says whether the connection goes on. It takes over the body.
-func (l *Listener) answer(x *connectionSlot, req *http.Request, body *buffer.Body) bool {
+// handle serves one request and reports whether the connection stays open. It takes over the body.
+func (l *Listener) handle(slot *connectionSlot, req *http.Request, body *buffer.Body) bool {
 	path := req.URL.Path
 	name, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
 	class, isJob := l.Classes[name]
 	var r reply
 	switch {
 	case path == "/up":
-		r = l.up(req)
+		r = l.readiness(req)
 	case path == "/v1/job-events":
 		r = l.callBack(req, body)
 	case !isJob:
@@ -273,26 +276,27 @@
 			break
 		}
 		flow.Job.Body = body
-		return l.flow(x, flow, req.Close)
+		return l.serveFlow(slot, flow, req.Close)
 	}
 	body.Release()
 	if r.status >= 400 && r.status != http.StatusServiceUnavailable {
 		l.Counts.Rejected.Add(1)
-		l.Log.Debug("rejected", "peer", x.conn.RemoteAddr(), "cause", r.text)
+		l.Log.Debug("rejected", "peer", slot.conn.RemoteAddr(), "cause", r.text)
 	}
-	r.close = r.close || req.Close || l.slots.parting(x)
+	r.close = r.close || req.Close || l.slots.mustClose(slot)
 	switch {
-	case !l.reply(x.conn, r):
-		x.reason = closedUnwritten
+	case !l.reply(slot.conn, r):
+		slot.reason = closedWriteFailed
 		return false
 	case r.close:
-		l.part(x, l.slots.whyLast(x, req.Close, false))
+		l.closeGently(slot, l.slots.lastCloseReason(slot, req.Close, false))
 		return false
 	}
-	return l.rest(x, false)
+	return l.awaitNext(slot, false)
 }
 
-func (l *Listener) up(req *http.Request) reply {
+// readiness returns the response of the readiness page.
+func (l *Listener) readiness(req *http.Request) reply {
 	switch {
 	case req.Method != http.MethodGet:
 		return reply{status: http.StatusMethodNotAllowed, allow: "GET"}
@@ -302,65 +306,65 @@
 	return reply{status: http.StatusOK, text: "ready\n"}
 }
 
-// exchange is one flow's side of a connection.
-type exchange struct{ answers chan core.Answer }
+// flowListener receives the core's answer to one flow.
+type flowListener struct{ answer chan core.Answer }
 
 // Answer implements core.Listener.
-func (e *exchange) Answer(a core.Answer) { e.answers <- a } // room for the only one
-
-// Progress implements core.Listener; this wire has no word for it.
-func (e *exchange) Progress(core.Progress) {}
-
-// flow hands a job to the core, waits for its answer and writes that. A client that
-// closes its side meanwhile has gone away, also one that has sent more before.
-func (l *Listener) flow(x *connectionSlot, r *core.Request, last bool) bool {
-	c := x.conn
-	e := &exchange{answers: make(chan core.Answer, 1)}
-	r.From = e
-	// The core owns r once it is taken in. The deadline goes before, as a connection that broke by now must not
-	// bring a job.
-	if err := c.SetReadDeadline(l.Clock.Deadline(r.Patience + spare)); err != nil {
+func (e *flowListener) Answer(a core.Answer) { e.answer <- a } // the channel has room for the one answer
+
+// Progress implements core.Listener. This protocol has no message for progress.
+func (e *flowListener) Progress(core.Progress) {}
+
+// serveFlow passes a job to the core, waits for its answer and writes that as the response. A client that closes
+// its side meanwhile counts as disconnected, even if it had pipelined another request.
+func (l *Listener) serveFlow(slot *connectionSlot, r *core.Request, lastRequest bool) bool {
+	c := slot.conn
+	listener := &flowListener{answer: make(chan core.Answer, 1)}
+	r.From = listener
+	// From TakeIn on, the core owns r. The deadline is set before, as a connection that is already broken must not
+	// start a job.
+	if err := c.SetReadDeadline(l.Clock.Deadline(r.Patience + flowGrace)); err != nil {
 		r.Job.Body.Release()
 		return false
 	}
 	ticket := l.Core.TakeIn(r)
-	var flooded bool
-	gone := make(chan error, 1)
+	var overflowed bool
+	disconnected := make(chan error, 1)
 	go func() {
 		var err error
-		flooded, err = c.Watch()
-		gone <- err
+		overflowed, err = c.Watch()
+		disconnected <- err
 	}()
-	var a core.Answer
+	var answer core.Answer
 	select {
-	case a = <-e.answers:
+	case answer = <-listener.answer:
 		c.Wake()
-		<-gone // had it gone in this moment, the answer may still arrive: it may have ended its own side alone
-	case err := <-gone:
+		<-disconnected // even if the client has just closed, the response may still arrive: it may have closed only its sending side
+	case err := <-disconnected:
 		ticket.Left()
 		switch {
 		case err == nil:
-			l.part(x, closedLate)
-		case errors.Is(err, httpio.ErrTooLarge): // which is no client of the protocol's
-			l.part(x, closedFlood)
+			l.closeGently(slot, closedTimeout)
+		case errors.Is(err, httpio.ErrTooLarge): // no client of this protocol sends that much
+			l.closeGently(slot, closedOverflow)
 		}
 		return false
 	}
-	p := fixedResponse(a)
-	// While winding down, an answer is the best moment to part: no request can cross the closing.
-	p.close = last || flooded || l.slots.parting(x)
+	response := fixedResponse(answer)
+	// During a graceful shutdown, the response is the best moment to close: no request can cross the close.
+	response.close = lastRequest || overflowed || l.slots.mustClose(slot)
 	switch {
-	case !l.reply(c, p):
-		x.reason = closedUnwritten
+	case !l.reply(c, response):
+		slot.reason = closedWriteFailed
 		return false
-	case p.close:
-		l.part(x, l.slots.whyLast(x, last, flooded))
+	case response.close:
+		l.closeGently(slot, l.slots.lastCloseReason(slot, lastRequest, overflowed))
 		return false
 	}
-	return l.rest(x, true)
+	return l.awaitNext(slot, true)
 }
 
-// fixedResponse words the core's answer in this protocol.
+// fixedResponse returns the response for the core's answer.
 func fixedResponse(a core.Answer) reply {
 	switch {
 	case a.Kind == core.Served:
@@ -373,7 +377,7 @@
 	return reply{status: http.StatusInternalServerError, text: "failed\n"}
 }
 
-// reply is an answer to be written.
+// reply is a response to write.
 type reply struct {
 	status     int
 	retryAfter float64 // milliseconds
@@ -382,13 +386,13 @@
 	text       string
 }
 
-// reply writes r and says whether its last byte went out.
+// reply writes r and reports whether its last byte was sent.
 func (l *Listener) reply(c *httpio.Conn, r reply) bool {
 	buf := c.Buffer()
 	defer c.Done(buf)
 	h := httpio.Start(buf, "HTTP/1.1 ", fmt.Sprint(r.status), " ", http.StatusText(r.status)).Field("Allow", r.allow)
 	if r.retryAfter > 0 {
-		h.Field("Retry-After", seconds(r.retryAfter))
+		h.Field("Retry-After", retryAfterSeconds(r.retryAfter))
 	}
 	if r.close {
 		h.Field("Connection", "close")
@@ -397,16 +401,16 @@
 	if r.status != http.StatusNoContent && r.text != "" {
 		body = [][]byte{[]byte(r.text)}
 	}
-	_, err := c.Send(h, body, l.Clock.Deadline(writeFor))
+	_, err := c.Send(h, body, l.Clock.Deadline(writeTimeout))
 	return err == nil
 }
 
-// Ready says what the readiness page answers.
-func (l *Listener) Ready() bool { return l.ready.Load() && !l.slots.isAway() }
+// Ready reports whether the readiness page reports ready.
+func (l *Listener) Ready() bool { return l.ready.Load() && !l.slots.isOutOfService() }
 
-// Leave takes the scheduler out of service: the readiness page says no, and connections close that stand between requests,
-// and each further one once it has its answer. What comes until clients know is served.
-func (l *Listener) Leave() { l.slots.leave(true) }
+// Leave takes the scheduler out of service. The readiness page then reports not ready, idle connections are
+// closed, and each further one after its response. Requests that arrive until the clients have noticed are served.
+func (l *Listener) Leave() { l.slots.setOutOfService(true) }
 
-// Return brings it back to service.
-func (l *Listener) Return() { l.slots.leave(false) }
+// Return puts the scheduler back into service.
+func (l *Listener) Return() { l.slots.setOutOfService(false) }
--- a/internal/net/listener/listener_test.go
+++ b/internal/net/listener/listener_test.go
@@ -15,12 +15,12 @@
 	"cottonwell/internal/net/httpio"
 )
 
-// late is a clock by which every deadline has passed.
-type late struct{ *clock.Manual }
+// expiredClock is a clock on which every deadline has passed.
+type expiredClock struct{ *clock.Manual }
 
-func (late) Deadline(float64) time.Time { return time.Now().Add(-time.Second) }
+func (expiredClock) Deadline(float64) time.Time { return time.Now().Add(-time.Second) }
 
-func start(t *testing.T, clk clock.Clock, places int) (*Listener, func() net.Conn) {
+func startListener(t *testing.T, clk clock.Clock, places int) (*Listener, func() net.Conn) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	l := New(nil, clk, slog.New(slog.NewTextHandler(io.Discard, nil)), httpio.NewStack(), nil, httpio.NewBudget(places))
@@ -38,32 +38,32 @@
 	}
 }
 
-// A connection on which nothing comes, or half a request, must end by itself: bad clients
-// open them by hundreds, and each holds a place.
+// A connection with no bytes or half a request must end by itself: faulty clients open hundreds of them, and each
+// takes a slot.
 func TestSilenceEnds(t *testing.T) {
-	l, dial := start(t, late{clock.NewManual(1e6)}, 9)
+	l, dial := startListener(t, expiredClock{clock.NewManual(1e6)}, 9)
 	got, err := io.ReadAll(dial())
 	require.NoError(t, err)
 	require.Empty(t, got)
-	l.closes(t, map[httpio.CloseReason]int{closedIdle: 1})
+	l.requireCloses(t, map[httpio.CloseReason]int{closedIdle: 1})
 }
 
-// Connections that bring nothing hold no place that another needs: first go those that were
-// answered and never brought a job, then the silent ones, the oldest first.
+// Inactive connections keep no slot that another connection needs. First go those that got responses and never
+// carried a job, then the silent ones, the oldest first.
 func TestFullHouseTakesThePlaceThatIsWorthLeast(t *testing.T) {
 	clk := clock.NewManual(1e6)
-	l, dial := start(t, clk, 2)
-	asks := func(c net.Conn) { require.NoError(t, talk(c, ask, ready)) }
+	l, dial := startListener(t, clk, 2)
+	asks := func(c net.Conn) { require.NoError(t, roundTrip(c, upRequest, readyResponse)) }
 	gone := func(c net.Conn) {
 		_, err := c.Read(make([]byte, 1))
 		require.ErrorIs(t, err, io.EOF)
 	}
 	silent := dial()
-	require.Eventually(t, func() bool { return l.taken() == 1 }, 10*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return l.slotCount() == 1 }, 10*time.Second, time.Millisecond)
 	clk.Advance(1)
 	asked := dial()
 	asks(asked)
-	require.Eventually(t, func() bool { return l.resting() == 1 }, 10*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return l.idleCount() == 1 }, 10*time.Second, time.Millisecond)
 	clk.Advance(1)
 	third := dial()
 	gone(asked)
@@ -75,73 +75,73 @@
 	require.Zero(t, l.Counts.TurnedOff.Load())
 	require.NoError(t, asked.Close())
 	require.NoError(t, silent.Close())
-	l.closes(t, map[httpio.CloseReason]int{closedPlace: 2})
+	l.requireCloses(t, map[httpio.CloseReason]int{closedEvicted: 2})
 }
 
-// Clients may hold only so many connections, and some send one job on each and never come
-// back on it: resting ones must not be all that they have. The one longest at rest is closed.
-func TestFewConnectionsRestBetweenJobs(t *testing.T) {
+// Clients may hold a limited number of connections, and some never reuse one after its job. Their idle connections
+// must not use up that number. The listener closes the one that has been idle longest.
+func TestIdleConnectionLimit(t *testing.T) {
 	clk := clock.NewManual(1e6)
-	l, dial := start(t, clk, 5*restShare)
+	l, dial := startListener(t, clk, 5*idleDivisor)
 	conns := make([]net.Conn, 7)
 	for i := range conns {
 		conns[i] = dial()
-		// Its own goroutine has to have come to rest with it, or it would undo what is moved here.
-		require.NoError(t, talk(conns[i], ask, ready))
-		require.Eventually(t, func() bool { return l.resting() == min(i, 5)+1 }, 10*time.Second, time.Millisecond)
+		// The connection's own goroutine has to have set it idle, or it would overwrite the states set here.
+		require.NoError(t, roundTrip(conns[i], upRequest, readyResponse))
+		require.Eventually(t, func() bool { return l.idleCount() == min(i, 5)+1 }, 10*time.Second, time.Millisecond)
 		clk.Advance(1)
 		l.slots.mu.Lock()
 		var x *connectionSlot
-		for y := range l.slots.all {
-			if !y.job {
+		for y := range l.slots.open {
+			if !y.hadJob {
 				x = y
 			}
 		}
 		l.slots.mu.Unlock()
-		require.True(t, l.slots.move(x, serving, true, 1))
-		l.slots.move(x, resting, true, 1)
+		require.True(t, l.slots.setState(x, serving, true, 1))
+		l.slots.setState(x, idle, true, 1)
 		if i >= 5 {
 			_, err := conns[i-5].Read(make([]byte, 1))
 			require.ErrorIs(t, err, io.EOF)
-			require.NoError(t, conns[i-5].Close()) // as clients do; one that stays is closed after lingerFor
-			require.Eventually(t, func() bool { return l.taken() == 5 }, 10*time.Second, time.Millisecond)
+			require.NoError(t, conns[i-5].Close()) // as clients do; one that stays open is closed after lingerTimeout
+			require.Eventually(t, func() bool { return l.slotCount() == 5 }, 10*time.Second, time.Millisecond)
 		}
 	}
 	require.EqualValues(t, 2, l.Counts.Spared.Load())
-	l.closes(t, map[httpio.CloseReason]int{closedSpared: 2})
+	l.requireCloses(t, map[httpio.CloseReason]int{closedExcessIdle: 2})
 }
 
-// Who goes first, and who never does.
-func TestWorthOfAPlace(t *testing.T) {
+// The order of eviction, and the connections that are never evicted.
+func TestEvictionRank(t *testing.T) {
 	for _, c := range []struct {
-		state standing
+		state slotState
 		job   bool
 		want  int
 	}{
-		{resting, false, 1}, {fresh, false, 2}, {reading, false, 2}, {resting, true, 3},
+		{idle, false, 1}, {awaitingFirst, false, 2}, {reading, false, 2}, {idle, true, 3},
 		{reading, true, 0}, {serving, false, 0}, {serving, true, 0}, {closing, false, 1}, {closing, true, 0},
 	} {
-		require.Equal(t, c.want, (&connectionSlot{state: c.state, job: c.job}).worth(), "%+v", c)
+		require.Equal(t, c.want, (&connectionSlot{state: c.state, hadJob: c.job}).evictionRank(), "%+v", c)
 	}
 }
 
-// closes waits until these connections were closed, by reason.
-func (l *Listener) closes(t *testing.T, want map[httpio.CloseReason]int) {
+// requireCloses waits until connections were closed for these reasons, with these counts.
+func (l *Listener) requireCloses(t *testing.T, want map[httpio.CloseReason]int) {
 	require.Eventually(t, func() bool { return maps.Equal(l.Counts.Closes.Counts(), want) }, 10*time.Second, time.Millisecond,
 		"%v, want %v", l.Counts.Closes.Counts(), want)
 }
 
-func (l *Listener) taken() int {
+func (l *Listener) slotCount() int {
 	l.slots.mu.Lock()
 	defer l.slots.mu.Unlock()
-	return len(l.slots.all)
+	return len(l.slots.open)
 }
 
-func (l *Listener) resting() (n int) {
+func (l *Listener) idleCount() (n int) {
 	l.slots.mu.Lock()
 	defer l.slots.mu.Unlock()
-	for x := range l.slots.all {
-		if x.state == resting {
+	for x := range l.slots.open {
+		if x.state == idle {
 			n++
 		}
 	}
--- a/internal/net/listener/parse.go
+++ b/internal/net/listener/parse.go
@@ -15,37 +15,37 @@
 	"cottonwell/internal/net/httpio"
 )
 
-// parseJob reads a job's head. The body is not its concern.
-func parseJob(req *http.Request, class string, rules Class) (*core.Request, error) {
+// parseJob reads a job from the head of a request, without its body.
+func parseJob(req *http.Request, class string, settings Class) (*core.Request, error) {
 	h := req.Header
 	for _, name := range []string{"X-Txn", "X-Org", "X-Remaining", "X-Labels", "X-Estimate", "Idempotency-Key", "Content-Type"} {
 		if len(h[name]) > 1 {
 			return nil, fmt.Errorf("%s stands there twice", name)
 		}
 	}
-	r := &core.Request{ID: h.Get("X-Txn"), Class: class, Tenant: h.Get("X-Org"), Slots: 1, Patience: rules.Patience,
+	r := &core.Request{ID: h.Get("X-Txn"), Class: class, Tenant: h.Get("X-Org"), Slots: 1, Patience: settings.Patience,
 		Repeat: h.Get("X-Resent") == "1",
 		Job:    core.Job{Method: req.Method, Path: req.RequestURI, Key: h.Get("Idempotency-Key"), Type: h.Get("Content-Type")}}
 	if !validID(r.ID) {
 		return nil, errors.New("X-Txn must be 1 to 128 letters, digits, '-', '_' or '.'")
 	}
-	// What goes on to a target must be what a target can read. It closes on anything else, and that
-	// would look like a fault of its own: two of them, and the module takes it for ill.
+	// What is forwarded must be readable for the target. The target closes the connection on anything else, which
+	// would look like a fault of the target: after two of them, the decision module takes it for unhealthy.
 	switch {
-	case !validTarget(r.Job.Path):
+	case !validRequestTarget(r.Job.Path):
 		return nil, errors.New("the path and query must be plain, with %XX for anything else")
-	case !visible(r.Job.Key) || len(r.Job.Key) > 256:
+	case !visibleASCII(r.Job.Key) || len(r.Job.Key) > 256:
 		return nil, errors.New("Idempotency-Key must be up to 256 visible characters")
-	case rules.Keyed && r.Job.Key == "":
+	case settings.Keyed && r.Job.Key == "":
 		return nil, errors.New("jobs of this class need an Idempotency-Key")
-	case !visible(strings.ReplaceAll(r.Job.Type, " ", "")):
+	case !visibleASCII(strings.ReplaceAll(r.Job.Type, " ", "")):
 		return nil, errors.New("Content-Type must be plain text")
 	}
 	if sid, err := req.Cookie("sid"); err == nil {
 		r.Subject = sid.Value
 	}
-	if s := h["X-Remaining"]; len(s) > 0 { // one that is there but empty is no number either
-		ms, err := parseSpan(s[0])
+	if s := h["X-Remaining"]; len(s) > 0 { // an empty header field is present and not a number
+		ms, err := parseTime(s[0])
 		if err != nil {
 			return nil, fmt.Errorf("X-Remaining: %w", err)
 		}
@@ -64,21 +64,21 @@
 	return r, nil
 }
 
-// validID says whether an id can stand in a path and a header as it is.
+// validID reports whether an ID can be part of a path and a header without escaping.
 func validID(id string) bool {
 	return len(id) > 0 && len(id) <= 128 && !strings.ContainsFunc(id, func(r rune) bool {
 		return !(r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || r == '-' || r == '_' || r == '.')
 	})
 }
 
-// visible says whether s has nothing but visible ASCII characters.
-func visible(s string) bool {
+// visibleASCII reports whether s has only visible ASCII characters.
+func visibleASCII(s string) bool {
 	return !strings.ContainsFunc(s, func(r rune) bool { return r <= ' ' || r >= 0x7f })
 }
 
-// validTarget says whether s is a path with or without a query, in the plain form.
-func validTarget(s string) bool {
-	if !strings.HasPrefix(s, "/") || len(s) > 2048 || !visible(s) || strings.ContainsAny(s, "\"<>\\^`{|}#") {
+// validRequestTarget reports whether s is a path with an optional query, in plain or percent-encoded characters.
+func validRequestTarget(s string) bool {
+	if !strings.HasPrefix(s, "/") || len(s) > 2048 || !visibleASCII(s) || strings.ContainsAny(s, "\"<>\\^`{|}#") {
 		return false
 	}
 	for i := strings.IndexByte(s, '%'); i >= 0; {
@@ -94,8 +94,8 @@
 	return true
 }
 
-// parseSpan reads a number with the unit m (milliseconds) or u (microseconds).
-func parseSpan(s string) (float64, error) {
+// parseTime reads a number with the unit m (milliseconds) or u (microseconds), and returns milliseconds.
+func parseTime(s string) (float64, error) {
 	if s == "" {
 		return 0, errors.New("empty")
 	}
@@ -107,24 +107,24 @@
 	return x * unit, nil
 }
 
-// parseLabels reads name=value,name=value. What it does not know it passes over.
+// parseLabels reads name=value,name=value and ignores unknown names.
 func parseLabels(s string, r *core.Request) error {
 	for part := range strings.SplitSeq(s, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
-		to := map[string]*float64{"slots": &r.Slots, "ram-units": &r.Memory}[name]
-		if to == nil {
+		field := map[string]*float64{"slots": &r.Slots, "ram-units": &r.Memory}[name]
+		if field == nil {
 			continue
 		}
 		x, err := strconv.ParseFloat(value, 64)
 		if err != nil || !(x > 0 && x < 1e6) {
 			return fmt.Errorf("%s=%q is not a number of %[1]s", name, value)
 		}
-		*to = x
+		*field = x
 	}
 	return nil
 }
 
-// jobEvent is a target's call-back.
+// jobEvent is the body of a target's call-back.
 type jobEvent struct {
 	ID     string             `json:"id"`
 	From   string             `json:"from"`
@@ -134,8 +134,8 @@
 	Load   map[string]float64 `json:"load"`
 }
 
-// callBack passes what a target tells to the core. It is answered before the core has
-// looked at it: the target waits for nothing.
+// callBack passes a target's report to the core. It responds before the core has processed the report, so that the
+// target does not wait.
 func (l *Listener) callBack(req *http.Request, body *buffer.Body) reply {
 	if req.Method != http.MethodPost {
 		return reply{status: http.StatusMethodNotAllowed, allow: "POST"}
@@ -144,42 +144,43 @@
 	if err := json.NewDecoder(body.Reader()).Decode(&ev); err != nil {
 		return reply{status: http.StatusBadRequest, text: "not a job event\n"}
 	}
-	n, err := ev.news()
+	news, err := ev.targetNews()
 	if err != nil {
 		return reply{status: http.StatusBadRequest, text: err.Error() + "\n"}
 	}
-	l.Core.News(n)
+	l.Core.News(news)
 	return reply{status: http.StatusNoContent}
 }
 
-// news says what a job event means; the outcomes stand in the table of package target's
-// protocol, too.
-func (ev *jobEvent) news() (core.TargetNews, error) {
-	n := core.TargetNews{ID: ev.ID, From: ev.From}
+// targetNews converts a job event for the core. Package httpio has the table of outcomes.
+func (ev *jobEvent) targetNews() (core.TargetNews, error) {
+	news := core.TargetNews{ID: ev.ID, From: ev.From}
 	if ev.Load != nil {
-		n.Report = httpio.Load(ev.Load)
+		news.Report = httpio.Load(ev.Load)
 	}
 	if ev.ID == "" || ev.From == "" {
-		return n, errors.New("a job event needs id and from")
+		return news, errors.New("a job event needs id and from")
 	}
 	switch ev.State {
 	case "started":
-		n.Progress = &core.Progress{Started: true}
-		return n, nil
+		news.Progress = &core.Progress{Started: true}
+		return news, nil
 	case "running":
-		n.Progress = &core.Progress{Fraction: ev.Share}
-		return n, nil
+		news.Progress = &core.Progress{Fraction: ev.Share}
+		return news, nil
 	}
-	res, ok := httpio.Outcome(httpio.JobState(ev.State))
+	result, ok := httpio.Outcome(httpio.JobState(ev.State))
 	if !ok {
-		return n, fmt.Errorf("unknown state %q", ev.State)
+		return news, fmt.Errorf("unknown state %q", ev.State)
 	}
-	n.Result = res
-	if res == balance.OK {
-		n.Body = ev.Result
+	news.Result = result
+	if result == balance.OK {
+		news.Body = ev.Result
 	}
-	return n, nil
+	return news, nil
 }
 
-// seconds words a time for Retry-After: whole where it is, else decimal.
-func seconds(ms float64) string { return strconv.FormatFloat(math.Ceil(ms)/1000, 'f', -1, 64) }
+// retryAfterSeconds formats milliseconds for Retry-After: as an integer where it is whole, otherwise as a decimal.
+func retryAfterSeconds(ms float64) string {
+	return strconv.FormatFloat(math.Ceil(ms)/1000, 'f', -1, 64)
+}
