--- a/internal/net/discovery/discovery.go
+++ b/internal/net/discovery/discovery.go
@@ -1,4 +1,6 @@
-// Package discovery keeps a watch on the list of targets.
+// Package discovery reads the list of targets and its changes from the discovery service over HTTP. It is given
+// the service's address and a callback. It keeps one watch open per request, and passes each list, each sign of
+// life and each failure to the callbacks. It does not retry by itself and does not store the list.
 package discovery
 
 import (
@@ -15,62 +17,62 @@
 )
 
 const (
-	dialFor  = 1000.0 // milliseconds
-	firstFor = 3000.0 // until the first object: calls wait in turn there
-	// An empty line comes every 2 s, so by then the watch is dead though TCP does not say so. What a silent watch
-	// misses counts as told 6 s after it fell silent, and a new one has to be open by then.
-	quietFor = 3500.0
-	// emptyLineBy is when the next empty line has come at the latest, on a watch that has not fallen silent.
-	emptyLineBy = 2150.0
+	dialTimeout     = 1000.0 // milliseconds
+	responseTimeout = 3000.0 // until the first object: discovery queues requests
+	// silenceTimeout is the time in milliseconds without data after which a watch counts as dead, though TCP
+	// reports no error: an empty line arrives every 2 s. Changes that a silent watch misses count as reported 6 s
+	// after it fell silent, and a new watch has to be open by then.
+	silenceTimeout = 3500.0
+	// maxEmptyLineGap is the longest time in milliseconds between two empty lines on a working watch.
+	maxEmptyLineGap = 2150.0
 )
 
-// Watcher holds at most one watch open, and while it moves the one before beside it. It does not try again by itself: it
-// tells of the failure, and whoever listens asks anew when it sees fit. (The decision module does so with a jittered
-// backoff.)
+// Watcher keeps at most one watch open, and after a change of address also the previous one. It does not retry: it
+// reports the failure, and the receiver requests a new watch. The decision module does so with jittered backoff.
 type Watcher struct {
 	Config
-	asked chan struct{}
+	requests chan struct{}
 
-	mu       sync.Mutex
-	moved    bool   // Address is new, and nobody has been asked there yet
-	current  *watch // the one that was begun last, if it has not ended
-	previous *watch // of the address before, until the new one has answered
+	mu             sync.Mutex
+	addressChanged bool   // Address is new, and no request has gone there yet
+	current        *watch // the watch started last, if it has not ended
+	previous       *watch // the watch of the previous address, until the new one has responded
 }
 
-// Config is what a watcher is made from.
+// Config configures a Watcher.
 type Config struct {
-	Address string // the first one; Move names others
+	Address string // the first address; Move sets others
 	Clock   clock.Clock
 	Log     *slog.Logger
 	Stack   *httpio.Stack
-	// Tell receives every list, and an AskFailed after each watch that failed or ended.
+	// Tell receives every list, and a group of scope AskFailed after each watch that failed or ended.
 	Tell func(core.Group)
-	// SignOfLife receives when one was read on a watch whose first list has come. Nil: nobody wants to know.
+	// SignOfLife receives the time of each sign of life, in milliseconds, on a watch whose first list has arrived.
+	// Nil if not needed.
 	SignOfLife func(readAt float64)
-	// Moved is called as the watcher moves to another address. Nil: nobody wants to know.
+	// Moved is called when the discovery address changes. Nil if not needed.
 	Moved func()
-	// Held says that a list is held at the start, and From is its version, which may be 0. Only what
-	// changed since is asked for then: the whole list costs discovery work for each line, and after
-	// a release all schedulers ask at once.
+	// Held reports whether a list is known at the start, and From is its version, which may be 0. The watcher then
+	// requests only the changes since: the whole list costs discovery work for each line, and after a release all
+	// schedulers send their requests at once.
 	Held bool
 	From uint64
 }
 
-// Move goes to another address and asks there at once, without waiting for the module's
-// next try. What is known of the targets holds until the new address answers. It is asked
-// for the whole list: versions are counted by whoever gave them, and nobody says that the
-// new address counts on from the old one's. Until it has answered, what the old address still
-// tells is told on, as a change counts from when it was written; its signs of life are not, as it has
-// no say any more in what is listed.
+// Move changes the discovery address and requests a watch there at once, without waiting for the module's next
+// retry. The known targets stay valid until the new address responds. The request is for the whole list: versions
+// belong to the service that assigned them, and the new address need not continue those of the old one. Until it
+// has responded, changes from the old address are still passed on, as a change counts from when it was written.
+// Signs of life of the old address are not, as its list is no longer authoritative.
 func (w *Watcher) Move(address string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if address == w.Address {
 		return
 	}
-	w.Address, w.moved = address, true
+	w.Address, w.addressChanged = address, true
 	if w.current != nil {
-		w.current.leave()
+		w.current.markReplaced()
 	}
 	if w.Moved != nil {
 		w.Moved()
@@ -78,116 +80,116 @@
 	w.Watch()
 }
 
-// Watch asks for a watch. It does not block; while one is open it does nothing.
+// Watch requests a watch. It does not block; while one is open it does nothing.
 func (w *Watcher) Watch() {
 	select {
-	case w.asked <- struct{}{}:
+	case w.requests <- struct{}{}:
 	default:
 	}
 }
 
-// New makes a watcher ready.
+// New returns a watcher; Run runs it.
 func New(cfg Config) *Watcher {
-	return &Watcher{Config: cfg, asked: make(chan struct{}, 1)}
+	return &Watcher{Config: cfg, requests: make(chan struct{}, 1)}
 }
 
-// Run holds the watches that are asked for, until ctx ends.
+// Run runs the requested watches, one after the other, until ctx ends.
 func (w *Watcher) Run(ctx context.Context) {
-	var all sync.WaitGroup
-	defer all.Wait()
+	var watches sync.WaitGroup
+	defer watches.Wait()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-w.asked:
+		case <-w.requests:
 		}
-		x := w.begin(ctx)
-		all.Go(func() {
-			defer close(x.ended)
-			x.err = x.run()
+		active := w.start(ctx)
+		watches.Go(func() {
+			defer close(active.ended)
+			active.err = active.run()
 		})
 		select {
-		case <-x.ended:
-		case <-x.left:
+		case <-active.ended:
+		case <-active.replaced:
 		}
 		if ctx.Err() != nil {
 			return
 		}
-		w.end(x)
+		w.finish(active)
 	}
 }
 
-// begin makes the next watch.
-func (w *Watcher) begin(ctx context.Context) *watch {
+// start creates the next watch.
+func (w *Watcher) start(ctx context.Context) *watch {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.moved {
-		w.moved, w.Held, w.From = false, false, 0
+	if w.addressChanged {
+		w.addressChanged, w.Held, w.From = false, false, 0
 	}
-	x := &watch{Watcher: w, address: w.Address, held: w.Held, from: w.From, askedAt: w.Clock.Now(), left: make(chan struct{}), ended: make(chan struct{})}
-	x.ctx, x.cancel = context.WithCancel(ctx)
-	w.current = x
-	return x
+	started := &watch{Watcher: w, address: w.Address, hasList: w.Held, fromVersion: w.From, startedAt: w.Clock.Now(), replaced: make(chan struct{}), ended: make(chan struct{})}
+	started.ctx, started.cancel = context.WithCancel(ctx)
+	w.current = started
+	return started
 }
 
-// end takes note that a watch has ended, or that the watcher has moved away from it.
-func (w *Watcher) end(x *watch) {
+// finish handles the end of a watch, or its replacement after a change of address.
+func (w *Watcher) finish(ended *watch) {
 	w.mu.Lock()
-	moves := w.moved
+	addressChanged := w.addressChanged
 	w.current = nil
-	if moves && x.listed && w.previous == nil {
-		w.previous = x
+	if addressChanged && ended.gotList && w.previous == nil {
+		w.previous = ended
 	} else {
-		x.cancel()
+		ended.cancel()
 	}
 	w.mu.Unlock()
-	if moves {
-		w.Log.Info("watch moves", "from", x.address)
-		return // Move has asked already
+	if addressChanged {
+		w.Log.Info("discovery address changed", "from", ended.address)
+		return // Move has already requested a watch
 	}
-	w.Log.Warn("watch ended", "discovery", x.address, "index", w.From, "lasted_ms", w.Clock.Now()-x.askedAt, "cause", x.err)
+	w.Log.Warn("watch ended", "discovery", ended.address, "index", w.From, "lasted_ms", w.Clock.Now()-ended.startedAt, "cause", ended.err)
 	w.Tell(core.Group{Scope: balance.AskFailed})
 }
 
-// pulse passes on a stream of lists, one JSON object after the other in any layout, with white space between, and
-// keeps the watch alive as it comes. White space is a sign of life only between objects, and an object only once: one
-// that does not come whole in time is as good as silence.
-type pulse struct {
-	r      io.Reader
-	now    func() float64
-	alive  func() error
-	beats  func()  // called at a sign of life that is no list
-	within bool    // an object has begun
-	readAt float64 // when anything was read last, in ms
-	// begunAt is when the first byte of the latest object was read, in ms: what it says was true then, however long the
-	// rest took.
-	begunAt float64
-	failed  error // of the stream
+// streamMonitor passes on a stream of lists and extends the watch as data arrives. The stream is JSON objects in
+// any layout, with white space between them. White space is a sign of life only between objects, and an object
+// only once: an object that is not complete before the timeout counts as silence.
+type streamMonitor struct {
+	r          io.Reader
+	now        func() float64
+	extend     func() error
+	signOfLife func()  // called at white space between objects
+	inObject   bool    // an object has begun and is not complete
+	readAt     float64 // time of the last read with data, in ms
+	// objectStartedAt is when the first byte of the latest object was read, in ms. The object describes that time,
+	// however long the rest took.
+	objectStartedAt float64
+	err             error // the last error of the stream
 }
 
-func (p *pulse) Read(b []byte) (int, error) {
-	n, err := p.r.Read(b)
+func (m *streamMonitor) Read(b []byte) (int, error) {
+	n, err := m.r.Read(b)
 	if n > 0 {
-		p.readAt = p.now()
+		m.readAt = m.now()
 	}
-	if n > 0 && !p.within && err == nil {
-		if p.within = len(bytes.TrimSpace(b[:n])) > 0; p.within {
-			p.begunAt = p.readAt
+	if n > 0 && !m.inObject && err == nil {
+		if m.inObject = len(bytes.TrimSpace(b[:n])) > 0; m.inObject {
+			m.objectStartedAt = m.readAt
 		} else {
-			p.beats()
+			m.signOfLife()
 		}
-		err = p.alive()
+		err = m.extend()
 	}
-	p.failed = err
+	m.err = err
 	return n, err
 }
 
-// whole notes that an object has come whole, and whether the next one has begun.
-func (p *pulse) whole(begun bool) error {
-	if p.within = begun; begun {
-		p.begunAt = p.readAt
+// endObject records that an object is complete, and whether the next one has begun.
+func (m *streamMonitor) endObject(nextBegun bool) error {
+	if m.inObject = nextBegun; nextBegun {
+		m.objectStartedAt = m.readAt
 	}
-	return p.alive()
+	return m.extend()
 }
--- a/internal/net/discovery/discovery_test.go
+++ b/internal/net/discovery/discovery_test.go
@@ -18,10 +18,10 @@
 	"cottonwell/internal/net/httpio"
 )
 
-// Failure (vast days): a list that was held at version 0 was taken for none, so that after a release every
-// scheduler asked for the whole list, and most calls failed. A watch goes on from the last version it has read. After a line that cannot be read, what
-// it changed is unknown: only the whole list mends that.
-func TestWatchGoesOnWhereItWas(t *testing.T) {
+// A watch resumes from the last version it has read. The fault: a list of version 0 counted as no list, so that
+// after a release every scheduler requested the whole list, and most requests failed. After an unreadable line its
+// changes are unknown, and only the whole list restores them.
+func TestWatchResumesFromLastVersion(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer ln.Close()
@@ -50,13 +50,13 @@
 		if round.from == "0" {
 			g := <-groups
 			require.Equal(t, balance.Changes, g.Scope)
-			require.Len(t, g.Targets, 2, "an entry without a name is passed over")
-			require.Equal(t, balance.Draining, g.Targets[1].State, "nothing is sent where the status is unknown")
+			require.Len(t, g.Targets, 2, "an entry without a name is ignored")
+			require.Equal(t, balance.Draining, g.Targets[1].State, "a target of unknown status receives nothing")
 		}
 		if round.from == "" {
 			require.Equal(t, balance.Whole, (<-groups).Scope)
 		}
 		c.Close()
-		require.Equal(t, balance.AskFailed, (<-groups).Scope, "the end of a watch is told")
+		require.Equal(t, balance.AskFailed, (<-groups).Scope, "the end of a watch is reported")
 	}
 }
--- a/internal/net/discovery/stream_test.go
+++ b/internal/net/discovery/stream_test.go
@@ -21,19 +21,19 @@
 	"cottonwell/internal/net/httpio"
 )
 
-// deadlines is a clock whose deadlines the test lets pass.
-type deadlines struct {
+// deadlineClock is a clock whose deadlines the test can let expire.
+type deadlineClock struct {
 	*clock.Manual
-	mu    sync.Mutex
-	asks  int
-	past  bool
-	short time.Duration // of the next ones; 0: none ever passes
+	mu        sync.Mutex
+	requested int
+	past      bool
+	short     time.Duration // duration of the next deadlines; 0: they never expire
 }
 
-func (d *deadlines) Deadline(float64) time.Time {
+func (d *deadlineClock) Deadline(float64) time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.asks++
+	d.requested++
 	if d.past {
 		return time.Unix(1, 0)
 	}
@@ -43,33 +43,33 @@
 	return time.Time{}
 }
 
-// pass lets each deadline that is asked for from now on have passed, and returns how many were asked for.
-func (d *deadlines) pass() int {
+// pass makes every later deadline an expired one, and returns how many were requested until now.
+func (d *deadlineClock) pass() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.past = true
-	return d.asks
+	return d.requested
 }
 
-func (d *deadlines) asked() int {
+func (d *deadlineClock) requestCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.asks
+	return d.requested
 }
 
-type stand struct {
+type fixture struct {
 	t      *testing.T
 	w      *Watcher
 	ln     net.Listener
-	clk    *deadlines
+	clock  *deadlineClock
 	groups chan core.Group
 }
 
-func newStand(t *testing.T) *stand {
+func newFixture(t *testing.T) *fixture {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	s := &stand{t: t, ln: ln, clk: &deadlines{Manual: clock.NewManual(1)}, groups: make(chan core.Group, 9)}
-	s.w = New(Config{Address: ln.Addr().String(), Clock: s.clk, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
+	s := &fixture{t: t, ln: ln, clock: &deadlineClock{Manual: clock.NewManual(1)}, groups: make(chan core.Group, 9)}
+	s.w = New(Config{Address: ln.Addr().String(), Clock: s.clock, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 		Stack: httpio.NewStack(), Held: true, From: 41, Tell: func(g core.Group) { s.groups <- g }})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -78,8 +78,8 @@
 	return s
 }
 
-// open takes the watcher's call and returns from which version it asks, and a writer of chunks.
-func (s *stand) open() (from string, chunk func(string), c net.Conn) {
+// open accepts the watcher's request. It returns the requested version and a writer of chunks.
+func (s *fixture) open() (from string, chunk func(string), c net.Conn) {
 	c, err := s.ln.Accept()
 	require.NoError(s.t, err)
 	s.t.Cleanup(func() { c.Close() })
@@ -93,20 +93,20 @@
 	}, c
 }
 
-// awaitDeadlines waits until the watcher has asked its clock for this many deadlines, one for each step that is named.
-func (s *stand) awaitDeadlines(many int, steps string) {
-	require.Eventually(s.t, func() bool { return s.clk.asked() == many }, 10*time.Second, time.Millisecond, steps)
+// awaitDeadlines waits until the watcher has requested count deadlines, one for each named step.
+func (s *fixture) awaitDeadlines(count int, steps string) {
+	require.Eventually(s.t, func() bool { return s.clock.requestCount() == count }, 10*time.Second, time.Millisecond, steps)
 }
 
-func (s *stand) list(n int) string {
+func (s *fixture) list(n int) string {
 	b, err := json.MarshalIndent(map[string]any{"index": n, "snapshot": false, "endpoints": []map[string]any{{"name": fmt.Sprint("t", n), "status": "DRAINING"}}}, "", "  ")
 	require.NoError(s.t, err)
 	return string(b)
 }
 
-// Lists may come in any layout, in pieces, several at once, and with white space between.
+// Lists may arrive in any layout, in pieces, several at once, and with white space between them.
 func TestListsInAnyLayout(t *testing.T) {
-	s := newStand(t)
+	s := newFixture(t)
 	s.w.Watch()
 	_, chunk, _ := s.open()
 	one := s.list(42)
@@ -122,32 +122,32 @@
 	require.Equal(t, "t45", (<-s.groups).Targets[0].ID)
 }
 
-// Crossing: a watch falls silent in the middle of a list, while empty lines still come. What came of that list is
-// nothing; the watch is opened anew from the last whole one, and what it tells then counts.
+// Crossing: a watch falls silent in the middle of a list, while empty lines still arrive. The partial list changes
+// nothing. The watch is reopened from the last complete list, and what it reports then counts.
 func TestHalfAListIsSilence(t *testing.T) {
-	s := newStand(t)
+	s := newFixture(t)
 	s.w.Watch()
 	_, chunk, c := s.open()
 	chunk(s.list(42))
 	require.Equal(t, "t42", (<-s.groups).Targets[0].ID)
-	s.awaitDeadlines(5, "ask, answer, open, begun, whole")
-	s.clk.mu.Lock()
-	s.clk.short = 300 * time.Millisecond
-	s.clk.mu.Unlock()
-	chunk(s.list(43)[:20]) // an object has begun: a sign of life
+	s.awaitDeadlines(5, "request, response, open, begun, whole")
+	s.clock.mu.Lock()
+	s.clock.short = 300 * time.Millisecond
+	s.clock.mu.Unlock()
+	chunk(s.list(43)[:20]) // the start of an object is a sign of life
 	for ended := false; !ended; {
 		select {
 		case g := <-s.groups:
 			require.Equal(t, balance.AskFailed, g.Scope)
 			ended = true
 		case <-time.After(20 * time.Millisecond):
-			_, _ = io.WriteString(c, "1\r\n\n\r\n") // while it is not whole, this is none
+			_, _ = io.WriteString(c, "1\r\n\n\r\n") // white space inside an object is none
 		}
 	}
-	s.clk.mu.Lock()
-	require.Equal(t, 6, s.clk.asks)
-	s.clk.short = 0
-	s.clk.mu.Unlock()
+	s.clock.mu.Lock()
+	require.Equal(t, 6, s.clock.requested)
+	s.clock.short = 0
+	s.clock.mu.Unlock()
 	s.w.Watch()
 	from, chunk, _ := s.open()
 	require.Equal(t, "42", from)
@@ -155,23 +155,24 @@
 	require.Equal(t, "t43", (<-s.groups).Targets[0].ID)
 }
 
-// A watch on which nothing comes is opened anew, long before what it misses counts as told.
+// A watch without data is reopened, long before the changes it misses count as reported.
 func TestSilentWatchEnds(t *testing.T) {
-	require.Less(t, quietFor, 6000.0-dialFor, "or there is no time to ask anew before what was missed counts as told")
-	require.Greater(t, quietFor, 2000.0, "an empty line comes every 2 s")
-	s := newStand(t)
+	require.Less(t, silenceTimeout, 6000.0-dialTimeout, "or there is no time for a new request before the missed changes count as reported")
+	require.Greater(t, silenceTimeout, 2000.0, "an empty line comes every 2 s")
+	s := newFixture(t)
 	s.w.Watch()
 	_, chunk, _ := s.open()
 	chunk(s.list(42))
 	require.Equal(t, "t42", (<-s.groups).Targets[0].ID)
-	s.clk.pass()
+	s.clock.pass()
 	chunk("\n")
 	require.Equal(t, balance.AskFailed, (<-s.groups).Scope)
 }
 
-// Crossing: SIGHUP moves discovery while a call is out that nobody answers. The new address is asked at once.
+// Crossing: SIGHUP changes the discovery address while a request has no response yet. The watcher sends a request to
+// the new address at once.
 func TestMoveWhileACallIsOut(t *testing.T) {
-	s := newStand(t)
+	s := newFixture(t)
 	other, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer other.Close()
@@ -182,15 +183,16 @@
 	s.w.Move(other.Addr().String())
 	s.ln = other
 	from, chunk, _ := s.open()
-	require.Empty(t, from, "versions of the old address mean nothing there")
+	require.Empty(t, from, "versions of the old address are not valid there")
 	chunk(s.list(7))
 	require.Equal(t, "t7", (<-s.groups).Targets[0].ID)
 }
 
-// Crossing: discovery tells of a change in the moment in which SIGHUP moves it. What was written counts, so the old watch is
-// read until the new address has answered; it is no sign of life, and after that answer nothing of it is told.
+// Crossing: discovery reports a change while SIGHUP changes the address. What was written counts, so the old watch
+// is read until the new address has responded. It is no sign of life, and after that response nothing more of it
+// is reported.
 func TestChangeThatCrossesTheMove(t *testing.T) {
-	s := newStand(t)
+	s := newFixture(t)
 	signs := make(chan float64, 9)
 	s.w.SignOfLife = func(readAt float64) { signs <- readAt }
 	other, err := net.Listen("tcp", "127.0.0.1:0")
@@ -220,11 +222,11 @@
 	require.Positive(t, <-signs)
 }
 
-// Crossing: the address moves in the moment in which the watch ends by itself. One call goes to the new address, none
-// to the old.
+// Crossing: the address changes while the watch ends by itself. One request goes to the new address, none to the
+// old.
 func TestMoveAsTheWatchEnds(t *testing.T) {
 	for range 20 {
-		s := newStand(t)
+		s := newFixture(t)
 		other, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
 		s.w.Watch()
@@ -246,66 +248,66 @@
 	}
 }
 
-// What a watch says is dated by when it was read: a list by its first byte, however long the rest takes, and an empty line
-// as a sign of life. What comes before the first list of a watch is none, as what the list has missed until then is
-// not known; nor is the failure of a watch.
-func TestWordsOfAWatchAreDated(t *testing.T) {
-	s := newStand(t)
+// Reports of a watch are dated by the time of reading: a list by its first byte, however long the rest takes, and
+// an empty line as a sign of life. Bytes before the first list of a watch are no sign of life, as the changes
+// missed until then are unknown. The failure of a watch is none either.
+func TestSignsOfLifeAreDated(t *testing.T) {
+	s := newFixture(t)
 	signs := make(chan float64, 9)
 	s.w.SignOfLife = func(readAt float64) { signs <- readAt }
 	s.w.Watch()
 	_, chunk, c := s.open()
 	chunk("\n")
-	s.awaitDeadlines(4, "ask, answer, open, the empty line")
-	s.clk.Advance(99)
+	s.awaitDeadlines(4, "request, response, open, the empty line")
+	s.clock.Advance(99)
 	chunk(s.list(42)[:20])
 	s.awaitDeadlines(5, "and half a list")
-	s.clk.Advance(900)
+	s.clock.Advance(900)
 	chunk(s.list(42)[20:] + s.list(43)[:20])
 	require.Equal(t, 100.0, (<-s.groups).ReadAt)
-	s.clk.Advance(500)
+	s.clock.Advance(500)
 	chunk(s.list(43)[20:])
-	require.Equal(t, 1000.0, (<-s.groups).ReadAt, "it began with the end of the one before")
+	require.Equal(t, 1000.0, (<-s.groups).ReadAt, "it began where the previous list ended")
 	require.Empty(t, signs)
-	s.clk.Advance(250)
+	s.clock.Advance(250)
 	chunk("\n")
 	require.Equal(t, 1750.0, <-signs)
-	s.clk.Advance(2151)
+	s.clock.Advance(2151)
 	c.Close()
 	require.Equal(t, balance.AskFailed, (<-s.groups).Scope)
-	require.Empty(t, signs, "an empty line was due: it had fallen silent")
+	require.Empty(t, signs, "an empty line was overdue: the watch had fallen silent")
 }
 
-// The end of a watch that had not fallen silent says that discovery had told all until then, whether it ends in order or by
-// a reset. The end amid a list says nothing, nor does the own end of it.
-func TestEndOfAWatchIsItsLastWord(t *testing.T) {
+// The end of a watch that had not fallen silent shows that discovery had reported everything until then, whether
+// it ends with a close or a reset. An end inside a list shows nothing, nor does a close by the watcher.
+func TestWatchEndIsSignOfLife(t *testing.T) {
 	for name, play := range map[string]struct {
-		ends func(s *stand, chunk func(string), c net.Conn)
+		ends func(s *fixture, chunk func(string), c net.Conn)
 		sign bool
 	}{
-		"in order": {func(_ *stand, _ func(string), c net.Conn) { c.Close() }, true},
-		"reset": {func(_ *stand, _ func(string), c net.Conn) {
+		"closed": {func(_ *fixture, _ func(string), c net.Conn) { c.Close() }, true},
+		"reset": {func(_ *fixture, _ func(string), c net.Conn) {
 			_ = c.(*net.TCPConn).SetLinger(0)
 			c.Close()
 		}, true},
-		"amid a list": {func(s *stand, chunk func(string), c net.Conn) {
+		"inside a list": {func(s *fixture, chunk func(string), c net.Conn) {
 			chunk(s.list(43)[:20])
-			s.awaitDeadlines(6, "ask, answer, open, begun, whole, begun")
+			s.awaitDeadlines(6, "request, response, open, begun, whole, begun")
 			c.Close()
 		}, false},
-		"by ourselves": {func(s *stand, chunk func(string), _ net.Conn) {
-			s.clk.pass()
+		"closed by the watcher": {func(s *fixture, chunk func(string), _ net.Conn) {
+			s.clock.pass()
 			chunk("\n")
 		}, false},
 	} {
-		s := newStand(t)
+		s := newFixture(t)
 		signs := make(chan float64, 9)
 		s.w.SignOfLife = func(readAt float64) { signs <- readAt }
 		s.w.Watch()
 		_, chunk, c := s.open()
 		chunk(s.list(42))
 		<-s.groups
-		s.clk.Advance(2149)
+		s.clock.Advance(2149)
 		play.ends(s, chunk, c)
 		require.Equal(t, balance.AskFailed, (<-s.groups).Scope, name)
 		if play.sign {
@@ -313,7 +315,7 @@
 			require.Equal(t, 2150.0, <-signs, name)
 		} else {
 			for len(signs) > 0 {
-				require.Equal(t, "by ourselves", name)
+				require.Equal(t, "closed by the watcher", name)
 				<-signs // the empty line itself
 			}
 		}
--- a/internal/net/discovery/watch.go
+++ b/internal/net/discovery/watch.go
@@ -16,157 +16,158 @@
 	"cottonwell/internal/net/httpio"
 )
 
-// watch is one call for the list and its changes, until its connection ends.
+// watch is one request for the list and its changes, until its connection ends.
 type watch struct {
 	*Watcher
-	address string
-	held    bool // a list was, as of version from
-	from    uint64
-	askedAt float64 // ms on the clock
-	ctx     context.Context
-	cancel  context.CancelFunc
-	once    sync.Once
-	left    chan struct{} // closed once the watcher has moved to another address
-	ended   chan struct{} // closed once err is set
-	err     error         // why it ended
-	listed  bool          // its first list was told; the watcher's mutex guards it
+	address     string
+	hasList     bool // a list is known, as of version fromVersion
+	fromVersion uint64
+	startedAt   float64 // ms on the clock
+	ctx         context.Context
+	cancel      context.CancelFunc
+	once        sync.Once
+	replaced    chan struct{} // closed once the discovery address has changed
+	ended       chan struct{} // closed once err is set
+	err         error         // why it ended
+	gotList     bool          // its first list was delivered; guarded by the watcher's mutex
 }
 
-// leave says that the watcher has moved to another address.
-func (x *watch) leave() { x.once.Do(func() { close(x.left) }) }
+// markReplaced records that the discovery address has changed.
+func (x *watch) markReplaced() { x.once.Do(func() { close(x.replaced) }) }
 
-// isCurrent says whether the watcher has not moved away.
+// isCurrent reports whether the discovery address is still that of the watch.
 func (x *watch) isCurrent() bool {
 	select {
-	case <-x.left:
+	case <-x.replaced:
 		return false
 	default:
 		return true
 	}
 }
 
-// run holds the watch until it ends, and says why it did.
+// run keeps the watch open until it ends, and returns why it ended.
 func (x *watch) run() error {
 	if x.address == "" {
 		return errors.New("no address")
 	}
-	d := net.Dialer{Timeout: clock.Duration(dialFor)}
-	nc, err := d.DialContext(x.ctx, "tcp", x.address)
+	dialer := net.Dialer{Timeout: clock.Duration(dialTimeout)}
+	nc, err := dialer.DialContext(x.ctx, "tcp", x.address)
 	if err != nil {
 		return fmt.Errorf("connect: %w", err)
 	}
 	defer nc.Close()
 	defer context.AfterFunc(x.ctx, func() { nc.Close() })()
-	c := x.Stack.Wrap(nc)
-	if err := x.ask(c); err != nil {
-		return fmt.Errorf("ask: %w", err)
+	conn := x.Stack.Wrap(nc)
+	if err := x.sendRequest(conn); err != nil {
+		return fmt.Errorf("send request: %w", err)
 	}
-	resp, err := c.Stream("GET", x.Clock.Deadline(firstFor))
+	resp, err := conn.Stream("GET", x.Clock.Deadline(responseTimeout))
 	if err != nil {
-		return fmt.Errorf("answer: %w", err)
+		return fmt.Errorf("response: %w", err)
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != 200 {
-		return fmt.Errorf("answer: status %d", resp.StatusCode)
+		return fmt.Errorf("response: status %d", resp.StatusCode)
 	}
-	x.Log.Info("watch open", "discovery", x.address, "held", x.held, "from", x.from)
+	x.Log.Info("watch open", "discovery", x.address, "held", x.hasList, "from", x.fromVersion)
 	return x.read(resp.Body, func() error {
-		c.Grant()
-		return c.SetReadDeadline(x.Clock.Deadline(quietFor))
+		conn.Grant()
+		return conn.SetReadDeadline(x.Clock.Deadline(silenceTimeout))
 	})
 }
 
-func (x *watch) ask(c *httpio.Conn) error {
+func (x *watch) sendRequest(conn *httpio.Conn) error {
 	path := "/discovery/hosts?watch=1"
-	if x.held {
-		path += "&from=" + strconv.FormatUint(x.from, 10)
+	if x.hasList {
+		path += "&from=" + strconv.FormatUint(x.fromVersion, 10)
 	}
-	buf := c.Buffer()
-	defer c.Done(buf)
-	_, err := c.Send(httpio.Start(buf, "GET ", path, " HTTP/1.1").Field("Host", x.address), nil, x.Clock.Deadline(dialFor))
+	buf := conn.Buffer()
+	defer conn.Done(buf)
+	_, err := conn.Send(httpio.Start(buf, "GET ", path, " HTTP/1.1").Field("Host", x.address), nil, x.Clock.Deadline(dialTimeout))
 	return err
 }
 
-// read tells of the lists as they come, and of signs of life between them. alive is called at each, and has the connection
-// live on for a while.
-func (x *watch) read(body io.Reader, alive func() error) error {
-	beat := &pulse{r: body, now: x.Clock.Now, alive: alive}
-	if err := beat.alive(); err != nil {
+// read delivers the lists as they arrive, and the signs of life between them. It calls extend at each, which
+// extends the deadline of the connection.
+func (x *watch) read(body io.Reader, extend func() error) error {
+	monitor := &streamMonitor{r: body, now: x.Clock.Now, extend: extend}
+	if err := monitor.extend(); err != nil {
 		return err
 	}
-	listed := false // before the first list, a sign of life says nothing of what the list has missed
-	beat.beats = func() {
-		if listed && x.SignOfLife != nil && x.isCurrent() {
-			x.SignOfLife(beat.readAt)
+	gotList := false // before the first list, a sign of life does not cover what the list has missed
+	monitor.signOfLife = func() {
+		if gotList && x.SignOfLife != nil && x.isCurrent() {
+			x.SignOfLife(monitor.readAt)
 		}
 	}
-	for lists := json.NewDecoder(beat); ; listed = true {
-		var l List
-		if err := lists.Decode(&l); err != nil {
-			if listed && !beat.within && endedThere(beat.failed) && x.Clock.Now() <= beat.readAt+emptyLineBy {
-				beat.readAt = x.Clock.Now()
-				beat.beats() // it ended, and had told all so far
+	for decoder := json.NewDecoder(monitor); ; gotList = true {
+		var list List
+		if err := decoder.Decode(&list); err != nil {
+			if gotList && !monitor.inObject && closedByPeer(monitor.err) && x.Clock.Now() <= monitor.readAt+maxEmptyLineGap {
+				monitor.readAt = x.Clock.Now()
+				monitor.signOfLife() // the stream ended, and everything until then was reported
 			}
-			return x.unreadable(err, beat.failed)
+			return x.readError(err, monitor.err)
 		}
-		begunAt := beat.begunAt
-		ahead, _ := io.ReadAll(lists.Buffered())
-		if err := beat.whole(len(bytes.TrimSpace(ahead)) > 0); err != nil {
+		startedAt := monitor.objectStartedAt
+		buffered, _ := io.ReadAll(decoder.Buffered())
+		if err := monitor.endObject(len(bytes.TrimSpace(buffered)) > 0); err != nil {
 			return err
 		}
-		x.tell(&l, begunAt)
+		x.deliver(&list, startedAt)
 	}
 }
 
-// endedThere says whether the other side ended the stream.
-func endedThere(err error) bool {
+// closedByPeer reports whether the other side ended the stream.
+func closedByPeer(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET)
 }
 
-// unreadable is the error of a list that could not be read, failed that of the stream it came on, if that broke.
-func (x *watch) unreadable(err, failed error) error {
+// readError returns the error for a list that could not be read. streamErr is the error of its stream, if that
+// broke.
+func (x *watch) readError(err, streamErr error) error {
 	switch {
 	case errors.Is(err, io.EOF):
 		return errors.New("the stream ended")
-	case failed != nil:
-		return err // what has come of a list is nothing, and is told again
+	case streamErr != nil:
+		return err // an incomplete list changes nothing, and is sent again
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.isCurrent() { // what this object changed is lost: only the whole list can mend that
+	if x.isCurrent() { // the changes of this object are lost, and only the whole list restores them
 		x.Held, x.From = false, 0
 	}
-	return fmt.Errorf("a list that cannot be read: %w", err)
+	return fmt.Errorf("unreadable list: %w", err)
 }
 
-// tell passes a list on whose first byte was read at a time.
-func (x *watch) tell(l *List, begunAt float64) {
-	g, err := l.TargetGroup()
+// deliver passes on a list whose first byte was read at startedAt.
+func (x *watch) deliver(list *List, startedAt float64) {
+	group, err := list.TargetGroup()
 	if err != nil {
-		x.Log.Warn("list entry passed over", "cause", err)
+		x.Log.Warn("list entry ignored", "cause", err)
 	}
-	if x.takesOver(l.Index) {
-		g.ReadAt = begunAt
+	if x.takeOver(list.Index) {
+		group.ReadAt = startedAt
 	}
-	x.Log.Info("list", "index", l.Index, "whole", l.Snapshot, "targets", len(l.Endpoints))
-	x.Tell(g)
+	x.Log.Info("list", "index", list.Index, "whole", list.Snapshot, "targets", len(list.Endpoints))
+	x.Tell(group)
 }
 
-// takesOver notes the version of a list, and says whether the watch is of the address that has a say. Once it is, nothing
-// of the address before is told any more.
-func (x *watch) takesOver(version uint64) bool {
+// takeOver records the version of a list, and reports whether the watch is that of the current address. If it is,
+// takeOver first ends the watch of the previous address, of which nothing more is reported.
+func (x *watch) takeOver(version uint64) bool {
 	x.mu.Lock()
 	if !x.isCurrent() {
 		x.mu.Unlock()
 		return false
 	}
-	x.listed, x.Held, x.From = true, true, version
-	old := x.previous
+	x.gotList, x.Held, x.From = true, true, version
+	previous := x.previous
 	x.previous = nil
 	x.mu.Unlock()
-	if old != nil {
-		old.cancel()
-		<-old.ended
+	if previous != nil {
+		previous.cancel()
+		<-previous.ended
 	}
 	return true
 }
