--- a/internal/net/discovery/watch.go
+++ b/internal/net/discovery/watch.go
@@ -61,7 +61,7 @@
 	if err := x.sendRequest(conn); err != nil {
 		return fmt.Errorf("send request: %w", err)
 	}
-	resp, err := conn.Stream("GET", x.Clock.Deadline(responseTimeout))
+	resp, err := conn.ReadStreamHead("GET", x.Clock.Deadline(responseTimeout))
 	if err != nil {
 		return fmt.Errorf("response: %w", err)
 	}
@@ -71,7 +71,7 @@
 	}
 	x.Log.Info("watch open", "discovery", x.address, "held", x.hasList, "from", x.fromVersion)
 	return x.read(resp.Body, func() error {
-		conn.Grant()
+		conn.ExtendStream()
 		return conn.SetReadDeadline(x.Clock.Deadline(silenceTimeout))
 	})
 }
--- a/internal/net/httpio/closes.go
+++ b/internal/net/httpio/closes.go
@@ -5,17 +5,17 @@
 	"sync"
 )
 
-// CloseReason says why a connection was closed. The reasons are few and constant.
+// CloseReason is the reason for closing a connection. The reasons are a small, fixed set.
 type CloseReason string
 
-// Closes counts closed connections by reason. The zero value is ready; it may be used by several goroutines.
+// Closes counts closed connections by reason. Its zero value is ready to use. It is safe for concurrent use.
 type Closes struct {
 	mu       sync.Mutex
 	byReason map[CloseReason]int
 }
 
-// Note counts one.
-func (c *Closes) Note(reason CloseReason) {
+// Add counts one closed connection.
+func (c *Closes) Add(reason CloseReason) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.byReason == nil {
@@ -24,7 +24,7 @@
 	c.byReason[reason]++
 }
 
-// Counts returns the counts so far.
+// Counts returns a copy of the counts so far.
 func (c *Closes) Counts() map[CloseReason]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/net/httpio/httpio.go
+++ b/internal/net/httpio/httpio.go
@@ -1,5 +1,6 @@
-// Package httpio is the framing that every HTTP side of the scheduler shares: reading
-// requests and answers within limits, writing messages, and the budget of sockets.
+// Package httpio is the HTTP framing that all sides of the scheduler share. It is given connections and reads
+// requests and responses within limits, writes messages, and keeps the budget of sockets. It also maps what came
+// back for an attempt to its outcome. It does no routing and keeps no connection pools.
 package httpio
 
 import (
@@ -17,23 +18,23 @@
 )
 
 const (
-	maxOnTheAir = buffer.Size + 2*buffer.MaxBody // a chunked body has some framing
+	maxMessage = buffer.Size + 2*buffer.MaxBody // bytes of one message; the second MaxBody is for the framing of a chunked body
 )
 
-// What is wrong with a message. Any other error is the connection's.
+// Errors of a message. Any other error is one of the connection.
 var (
 	ErrMalformed = errors.New("malformed message")
 	ErrTooLarge  = buffer.ErrTooLarge
-	// ErrHeadTooLarge says that a request's head is longer than one buffer.
+	// ErrHeadTooLarge means that a request's head is longer than one buffer.
 	ErrHeadTooLarge = errors.New("head is longer than 8 KiB")
 )
 
-// Stack makes connections that share one pool of buffers.
+// Stack wraps connections that share one pool of buffers.
 type Stack struct {
 	Buffers *buffer.Pool
 }
 
-// NewStack returns a stack with a pool of its own.
+// NewStack returns a stack with a buffer pool of its own.
 func NewStack() *Stack { return &Stack{Buffers: buffer.NewPool()} }
 
 // Conn is a connection that carries HTTP messages, one at a time.
@@ -44,116 +45,118 @@
 	br    *bufio.Reader
 }
 
-// Wrap makes a Conn of c.
+// Wrap returns a Conn on c.
 func (s *Stack) Wrap(c net.Conn) *Conn {
 	conn := &Conn{Conn: c, stack: s}
-	conn.limit = io.LimitedReader{R: c, N: maxOnTheAir}
+	conn.limit = io.LimitedReader{R: c, N: maxMessage}
 	conn.br = bufio.NewReaderSize(&conn.limit, buffer.Size)
 	return conn
 }
 
-// Await blocks until the next byte has come, without taking it.
+// Await blocks until the next byte has arrived, without consuming it.
 func (c *Conn) Await() error {
-	c.limit.N = maxOnTheAir
+	c.limit.N = maxMessage
 	_, err := c.br.Peek(1)
 	return err
 }
 
-// Ahead says whether bytes that nobody has taken yet were read from the connection.
-func (c *Conn) Ahead() bool { return c.br.Buffered() > 0 }
+// Buffered reports whether bytes were read from the connection and not consumed yet.
+func (c *Conn) Buffered() bool { return c.br.Buffered() > 0 }
 
-// Look says whether a byte has come that nobody has taken, or what ended the connection. It does not wait, and
-// passes over the read deadline, which is then gone: at the end of a wait a deadline hides what came in that moment.
-func (c *Conn) Look() (come bool, err error) {
-	if c.Ahead() {
+// Peek reports whether an unconsumed byte has arrived, or returns the error that ended the connection. It does not
+// block. It clears the read deadline: when a wait times out, an expired deadline would hide data that arrives at
+// that moment.
+func (c *Conn) Peek() (received bool, err error) {
+	if c.Buffered() {
 		return true, nil
 	}
 	if err := c.SetReadDeadline(time.Time{}); err != nil {
 		return false, err
 	}
-	c.limit = io.LimitedReader{R: nowait{c.Conn}, N: maxOnTheAir}
+	c.limit = io.LimitedReader{R: nonblockingConn{c.Conn}, N: maxMessage}
 	defer func() { c.limit.R = c.Conn }()
-	if _, err = c.br.Peek(1); errors.Is(err, errNothing) {
+	if _, err = c.br.Peek(1); errors.Is(err, errNoData) {
 		return false, nil
 	}
 	return err == nil, err
 }
 
-var errNothing = errors.New("nothing has come")
+var errNoData = errors.New("no data has arrived")
 
-// nowait reads what has come on a connection, or says that there is nothing.
-type nowait struct{ net.Conn }
+// nonblockingConn reads what has arrived on a connection, or returns errNoData.
+type nonblockingConn struct{ net.Conn }
 
-func (c nowait) Read(b []byte) (n int, err error) {
+func (c nonblockingConn) Read(b []byte) (n int, err error) {
 	sc, ok := c.Conn.(syscall.Conn)
 	if !ok {
-		return 0, errNothing
+		return 0, errNoData
 	}
 	raw, err := sc.SyscallConn()
 	if err != nil {
 		return 0, err
 	}
-	var failed error
+	var readErr error
 	if err := raw.Read(func(fd uintptr) bool {
-		n, failed = syscall.Read(int(fd), b)
+		n, readErr = syscall.Read(int(fd), b)
 		return true
 	}); err != nil {
 		return 0, err
 	}
 	switch {
-	case errors.Is(failed, syscall.EAGAIN), errors.Is(failed, syscall.EWOULDBLOCK), errors.Is(failed, syscall.EINTR):
-		return 0, errNothing
-	case failed != nil:
-		return 0, failed
+	case errors.Is(readErr, syscall.EAGAIN), errors.Is(readErr, syscall.EWOULDBLOCK), errors.Is(readErr, syscall.EINTR):
+		return 0, errNoData
+	case readErr != nil:
+		return 0, readErr
 	case n == 0:
 		return 0, io.EOF
 	}
 	return n, nil
 }
 
-// Watch reads ahead while a request is in work, so that it is seen when the other side goes, also behind
-// whatever it has sent ahead. It returns nil once it is woken or the read deadline has passed, else what ended
-// the connection. What does not fit the buffer is dropped, as nobody may send so much ahead: flooded says so,
-// and nothing that is read from then on is a message. Beyond maxOnTheAir it is ErrTooLarge.
-func (c *Conn) Watch() (flooded bool, err error) {
+// WatchClose reads ahead while a request is in progress, so that the caller notices when the other side closes,
+// even behind data that it has sent ahead. It returns a nil error on Wake or at the read deadline, and otherwise
+// the error that ended the connection. It drops what does not fit the buffer, as no client may send that much
+// ahead. It then returns overflowed, and what is read from then on is no message. Beyond maxMessage bytes it
+// returns ErrTooLarge.
+func (c *Conn) WatchClose() (overflowed bool, err error) {
 	for dropped := 0; ; {
-		c.limit.N = maxOnTheAir
+		c.limit.N = maxMessage
 		n := c.br.Buffered()
 		if n >= buffer.Size {
-			if dropped += n; dropped > maxOnTheAir {
+			if dropped += n; dropped > maxMessage {
 				return true, ErrTooLarge
 			}
 			_, _ = c.br.Discard(n)
-			flooded, n = true, 0
+			overflowed, n = true, 0
 		}
 		if _, err := c.br.Peek(n + 1); err != nil {
 			if TimedOut(err) {
-				return flooded, nil
+				return overflowed, nil
 			}
-			return flooded, err
+			return overflowed, err
 		}
 	}
 }
 
-// Wake ends a read that waits, and each further one until a new deadline is set.
+// Wake ends a blocked read, and each later one until a new deadline is set.
 func (c *Conn) Wake() { _ = c.SetReadDeadline(time.Unix(1, 0)) }
 
-// TimedOut says whether an error is a deadline's.
+// TimedOut reports whether an error is an expired deadline.
 func TimedOut(err error) bool {
 	var netErr net.Error
 	return errors.As(err, &netErr) && netErr.Timeout()
 }
 
-// ReadRequest reads one request with its whole body. The read deadline is the caller's to set before; answers
-// to 'Expect' are written until writeBy.
+// ReadRequest reads one request with its whole body. The caller sets the read deadline before. The response to
+// 'Expect' is written until writeBy.
 func (c *Conn) ReadRequest(writeBy time.Time) (*http.Request, *buffer.Body, error) {
-	c.limit.N = maxOnTheAir
+	c.limit.N = maxMessage
 	if err := c.checkHead(); err != nil {
 		return nil, nil, err
 	}
 	req, err := http.ReadRequest(c.br)
 	if err != nil {
-		return nil, nil, c.fault(err)
+		return nil, nil, c.messageError(err)
 	}
 	if req.ContentLength > buffer.MaxBody {
 		return req, nil, ErrTooLarge
@@ -168,69 +171,69 @@
 	}
 	body, err := c.stack.Buffers.Read(req.Body)
 	if err != nil {
-		return req, nil, c.fault(err)
+		return req, nil, c.messageError(err)
 	}
 	return req, body, nil
 }
 
-// interim is how many 1xx answers may come before the one that counts.
-const interim = 4
+// maxInterim is the number of 1xx responses accepted before the final response.
+const maxInterim = 4
 
-// ReadHead reads the head of an answer to a request of the given method, until the deadline. 1xx answers before
-// it are passed over. The body is ReadRest's to read.
+// ReadHead reads the head of the final response to a request of the given method, until the deadline. It skips 1xx
+// responses. ReadBody reads the body.
 func (c *Conn) ReadHead(method string, deadline time.Time) (*http.Response, error) {
-	c.limit.N = maxOnTheAir
+	c.limit.N = maxMessage
 	if err := c.SetReadDeadline(deadline); err != nil {
 		return nil, err
 	}
-	for range interim + 1 {
+	for range maxInterim + 1 {
 		resp, err := http.ReadResponse(c.br, &http.Request{Method: method})
 		if err != nil {
-			return nil, c.fault(err)
+			return nil, c.messageError(err)
 		}
 		if resp.StatusCode >= 200 {
 			return resp, nil
 		}
 	}
-	return nil, fmt.Errorf("%w: more than %d interim answers", ErrMalformed, interim)
+	return nil, fmt.Errorf("%w: more than %d interim responses", ErrMalformed, maxInterim)
 }
 
-// ReadRest reads the body of an answer, up to buffer.MaxBody, until the deadline.
-func (c *Conn) ReadRest(resp *http.Response, deadline time.Time) (*buffer.Body, error) {
+// ReadBody reads the body of a response, up to buffer.MaxBody, until the deadline.
+func (c *Conn) ReadBody(resp *http.Response, deadline time.Time) (*buffer.Body, error) {
 	if err := c.SetReadDeadline(deadline); err != nil {
 		return nil, err
 	}
 	body, err := c.stack.Buffers.Read(resp.Body)
 	if err != nil {
-		return nil, c.fault(err)
+		return nil, c.messageError(err)
 	}
 	return body, nil
 }
 
-// RestIsHere says whether the whole body of an answer has come already, so that to read it waits for nothing.
-func (c *Conn) RestIsHere(resp *http.Response) bool {
+// BodyBuffered reports whether the whole body of a response is buffered, so that reading it does not block.
+func (c *Conn) BodyBuffered(resp *http.Response) bool {
 	return resp.ContentLength >= 0 && resp.ContentLength <= int64(c.br.Buffered())
 }
 
-// Stream reads the head of an answer whose body goes on; the caller reads Body line by
-// line and sets deadlines itself. Grant allows for the next bytes.
-func (c *Conn) Stream(method string, deadline time.Time) (*http.Response, error) {
-	c.Grant()
+// ReadStreamHead reads the head of a response whose body is a stream. The caller reads Body line by line and sets
+// the deadlines. ExtendStream allows further bytes.
+func (c *Conn) ReadStreamHead(method string, deadline time.Time) (*http.Response, error) {
+	c.ExtendStream()
 	if err := c.SetReadDeadline(deadline); err != nil {
 		return nil, err
 	}
 	resp, err := http.ReadResponse(c.br, &http.Request{Method: method})
 	if err != nil {
-		return nil, c.fault(err)
+		return nil, c.messageError(err)
 	}
 	return resp, nil
 }
 
-// Grant lets a stream carry so much more that a list of targets surely fits.
-func (c *Conn) Grant() { c.limit.N = 4 << 20 }
+// ExtendStream allows 4 MiB more on a stream, which is enough for a list of targets.
+func (c *Conn) ExtendStream() { c.limit.N = 4 << 20 }
 
-// fault tells what is wrong with the message from what happened to the connection.
-func (c *Conn) fault(err error) error {
+// messageError returns the error of a message, given the error of reading it.
+func (c *Conn) messageError(err error) error {
 	var netErr net.Error
 	switch {
 	case errors.Is(err, ErrTooLarge), c.limit.N <= 0:
@@ -241,10 +244,10 @@
 	return fmt.Errorf("%w: %w", ErrMalformed, err)
 }
 
-// Head begins a message in the form of its first line; Field and End go on.
+// Head is the head of a message. Start begins it, Field adds to it and Send completes it.
 type Head struct{ b []byte }
 
-// Start begins a message in a buffer.
+// Start begins a message in a buffer with the parts of its first line.
 func Start(buf *[buffer.Size]byte, line ...string) *Head {
 	h := &Head{buf[:0]}
 	for _, s := range line {
@@ -262,48 +265,48 @@
 	return h
 }
 
-// Send writes the message with a body until the deadline. It returns how many bytes
-// are missing: 0 says that the last byte was written, and the other side may have it.
+// Send writes the message with a body until the deadline. It returns the number of missing bytes: 0 means that the
+// last byte was written, and the other side may have received it.
 func (c *Conn) Send(h *Head, body [][]byte, deadline time.Time) (missing int64, err error) {
-	n := 0
+	bodySize := 0
 	for _, s := range body {
-		n += len(s)
+		bodySize += len(s)
 	}
 	h.b = append(h.b, "Content-Length: "...)
-	h.b = strconv.AppendInt(h.b, int64(n), 10)
+	h.b = strconv.AppendInt(h.b, int64(bodySize), 10)
 	h.b = append(h.b, "\r\n\r\n"...)
-	total := int64(len(h.b) + n)
+	total := int64(len(h.b) + bodySize)
 	if err := c.SetWriteDeadline(deadline); err != nil {
 		return total, err
 	}
-	if len(body) <= 1 && n+len(h.b) <= cap(h.b) { // one segment where it fits
+	if len(body) <= 1 && bodySize+len(h.b) <= cap(h.b) { // one segment if it fits
 		for _, s := range body {
 			h.b = append(h.b, s...)
 		}
-		m, err := c.Conn.Write(h.b)
-		return total - int64(m), err
+		written, err := c.Conn.Write(h.b)
+		return total - int64(written), err
 	}
-	all := append(net.Buffers{h.b}, body...)
-	m, err := all.WriteTo(c.Conn)
-	return total - m, err
+	buffers := append(net.Buffers{h.b}, body...)
+	written, err := buffers.WriteTo(c.Conn)
+	return total - written, err
 }
 
-// Buffer lends a buffer for a head; the caller gives it back with Done.
+// Buffer lends a buffer for a head. The caller returns it with Done.
 func (c *Conn) Buffer() *[buffer.Size]byte { return c.stack.Buffers.Get() }
 
-// Done takes back what Buffer lent.
+// Done takes back a buffer lent by Buffer.
 func (c *Conn) Done(b *[buffer.Size]byte) { c.stack.Buffers.Put(b) }
 
-// Budget bounds how many sockets one side holds.
+// Budget limits the number of sockets of one side.
 type Budget struct{ slots chan struct{} }
 
 // NewBudget returns a budget of n sockets.
 func NewBudget(n int) *Budget { return &Budget{make(chan struct{}, max(1, n))} }
 
-// Size is the number of sockets.
+// Size returns the number of sockets.
 func (b *Budget) Size() int { return cap(b.slots) }
 
-// TryTake takes a socket's place if there is one.
+// TryTake takes a socket from the budget, and returns false if none is left.
 func (b *Budget) TryTake() bool {
 	select {
 	case b.slots <- struct{}{}:
@@ -313,7 +316,7 @@
 	}
 }
 
-// Take waits for a socket's place, or for stop.
+// Take waits for a socket from the budget, and returns false if stop is closed first.
 func (b *Budget) Take(stop <-chan struct{}) bool {
 	select {
 	case b.slots <- struct{}{}:
@@ -323,13 +326,13 @@
 	}
 }
 
-// Give gives a place back.
+// Give returns a socket to the budget.
 func (b *Budget) Give() { <-b.slots }
 
-// CloseGently closes a connection on which the other side may still be writing: it ends its own side, then
-// takes and drops what still comes, until the other side ends too or the deadline has passed. To close it with
-// bytes unread would reset it, and the last answer could be lost on the way. Nothing that is read here may be
-// acted on: no answer can follow any more.
+// CloseGently closes a connection on which the other side may still be sending. It closes its own sending side,
+// then discards what arrives until the other side closes too or the deadline has passed. Closing with unread bytes
+// would reset the connection, and the last response could be lost. What is read here must not be acted on, as no
+// response can follow.
 func CloseGently(c net.Conn, deadline time.Time) {
 	defer c.Close()
 	if conn, ok := c.(*Conn); ok {
@@ -339,5 +342,5 @@
 	if !ok || half.CloseWrite() != nil || c.SetReadDeadline(deadline) != nil {
 		return
 	}
-	_, _ = io.Copy(io.Discard, io.LimitReader(c, maxOnTheAir)) // whatever it was, nobody wants it
+	_, _ = io.Copy(io.Discard, io.LimitReader(c, maxMessage)) // the result does not matter: the data is discarded
 }
--- a/internal/net/httpio/httpio_test.go
+++ b/internal/net/httpio/httpio_test.go
@@ -13,19 +13,19 @@
 	"cottonwell/internal/buffer"
 )
 
-// Which exchanges prove that an attempt never ran decides whether a purchase may leave its
-// pod: the protocol's table, word for word.
-func TestWhatProvesThatItNeverRan(t *testing.T) {
-	never := map[Exchange]bool{JobReturned: true, TurnedAway: true, NotConnected: true, BrokenBefore: true, NotBegun: true}
-	for _, r := range table() {
+// The exchanges that prove that an attempt never ran decide whether a purchase may move to another pod. They must
+// match the protocol's table.
+func TestExchangesThatProveNeverRan(t *testing.T) {
+	never := map[Exchange]bool{JobReturned: true, Rejected: true, NotConnected: true, BrokenBefore: true, NotBegun: true}
+	for _, r := range outcomeTable() {
 		proof := r.result == balance.Full || r.result == balance.NoConnection || r.result == balance.NeverSent
-		require.Equal(t, never[r.back], proof, string(r.back))
+		require.Equal(t, never[r.exchange], proof, string(r.exchange))
 	}
-	require.Equal(t, Status500, Answered(503, false), "a 503 that says no more may come from halfway")
-	require.Equal(t, TurnedAway, Answered(504, true))
-	require.Equal(t, Status500, Answered(500, true))
-	_, known := Outcome(JobState("500"))
-	require.False(t, known, "a call-back cannot say what only an answer can")
+	require.Equal(t, Status500, ForStatus(503, false), "a 503 without X-Turned-Away may come from an intermediary")
+	require.Equal(t, Rejected, ForStatus(504, true))
+	require.Equal(t, Status500, ForStatus(500, true))
+	_, known := Outcome(ForJobState("500"))
+	require.False(t, known, "a call-back cannot report what only a response can")
 }
 
 func TestLoadReports(t *testing.T) {
@@ -47,15 +47,15 @@
 	}
 }
 
-// shortConn takes only so many bytes.
-type shortConn struct {
+// limitedConn accepts a limited number of bytes.
+type limitedConn struct {
 	net.Conn
 	left int
 }
 
-func (c *shortConn) SetWriteDeadline(time.Time) error { return nil }
+func (c *limitedConn) SetWriteDeadline(time.Time) error { return nil }
 
-func (c *shortConn) Write(b []byte) (int, error) {
+func (c *limitedConn) Write(b []byte) (int, error) {
 	if len(b) <= c.left {
 		c.left -= len(b)
 		return len(b), nil
@@ -65,20 +65,20 @@
 	return n, errors.New("broken")
 }
 
-// An attempt whose last byte was not written never ran. One byte more, and it may have.
+// An attempt whose last byte was not written never ran. With the last byte written it may have run.
 func TestSendTellsWhetherTheLastByteWent(t *testing.T) {
 	s := NewStack()
 	body := [][]byte{[]byte("0123456789")}
 	whole := len("POST / HTTP/1.1\r\nContent-Length: 10\r\n\r\n") + 10
 	for _, big := range []bool{false, true} {
 		b, n := body, whole
-		if big { // head and body go out apart
+		if big { // head and body are written separately
 			b = [][]byte{make([]byte, buffer.Size), make([]byte, 10)}
 			n = len("POST / HTTP/1.1\r\nContent-Length: 8202\r\n\r\n") + buffer.Size + 10
 		}
 		for short := range 3 {
 			buf := s.Buffers.Get()
-			missing, err := s.Wrap(&shortConn{left: n - short}).Send(Start(buf, "POST / HTTP/1.1"), b, time.Time{})
+			missing, err := s.Wrap(&limitedConn{left: n - short}).Send(Start(buf, "POST / HTTP/1.1"), b, time.Time{})
 			require.Equal(t, short > 0, err != nil)
 			require.Equal(t, short > 0, missing > 0, "big %v, short by %d", big, short)
 		}
--- a/internal/net/httpio/load.go
+++ b/internal/net/httpio/load.go
@@ -8,42 +8,42 @@
 	"cottonwell/balance"
 )
 
-// ParseLoad reads a load report in the form of a header: name=value,name=value. What
-// it cannot read is no report: a target's figures are never worth failing an answer for.
+// ParseLoad reads a load report from a header value of the form name=value,name=value. An unreadable value is left
+// out: a malformed load report must not make a response fail.
 func ParseLoad(s string) balance.Report {
 	if s == "" {
 		return balance.Report{}
 	}
-	figures := map[string]float64{}
+	values := map[string]float64{}
 	for part := range strings.SplitSeq(s, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if x, err := strconv.ParseFloat(value, 64); err == nil {
-			figures[name] = x
+			values[name] = x
 		}
 	}
-	return Load(figures)
+	return Load(values)
 }
 
-// Load makes a report of named figures, by the names that the wire and the sockets use.
-func Load(figures map[string]float64) balance.Report {
-	rep := balance.Report{InFlight: -1, Waiting: -1, Free: -1}
-	for name, x := range figures {
+// Load returns the report for named values, by the names used on the wire and on the sockets.
+func Load(values map[string]float64) balance.Report {
+	report := balance.Report{InFlight: -1, Waiting: -1, Free: -1}
+	for name, x := range values {
 		if math.IsNaN(x) || math.Abs(x) > 1e18 {
 			continue
 		}
 		switch name {
 		case "inflight", "active":
-			rep.InFlight = max(x, 0)
+			report.InFlight = max(x, 0)
 		case "queue", "waiting":
-			rep.Waiting = max(x, 0)
+			report.Waiting = max(x, 0)
 		case "x0":
-			rep.Free = max(x, 0)
+			report.Free = max(x, 0)
 		case "x1":
-			rep.Memory = max(x, 0.001) // 0 would say that none is reported
+			report.Memory = max(x, 0.001) // 0 would mean that none is reported
 		default:
 			continue
 		}
-		rep.Present = true
+		report.Present = true
 	}
-	return rep
+	return report
 }
--- a/internal/net/httpio/outcomes.go
+++ b/internal/net/httpio/outcomes.go
@@ -6,63 +6,63 @@
 	"cottonwell/balance"
 )
 
-// Exchange is what came back, or did not, of an attempt.
+// Exchange is what came back for an attempt, or how it ended without a response.
 type Exchange string
 
-// What may come back of an attempt.
+// The possible exchanges.
 const (
 	JobDone      Exchange = "done"
 	JobFailed    Exchange = "failed"
 	JobReturned  Exchange = "returned"
 	JobLost      Exchange = "lost"
-	Status500    Exchange = "500" // and every answer that says nothing better
-	TurnedAway   Exchange = "503 or 504 with X-Turned-Away: 1"
+	Status500    Exchange = "500" // and every response without a more specific meaning
+	Rejected     Exchange = "503 or 504 with X-Turned-Away: 1"
 	NotConnected Exchange = "refused, or never up"
 	BrokenBefore Exchange = "broken before the request's last byte was written"
 	BrokenAfter  Exchange = "broken after that, before the 202"
-	Silence      Exchange = "nothing"
+	NoResponse   Exchange = "nothing"
 	GivenUp      Exchange = "given up by us"
 	NotBegun     Exchange = "never begun by us"
 )
 
-// row is a line of the protocol's table.
-type row struct {
-	back   Exchange
-	result balance.Result
+// outcomeRow is a row of the protocol's table.
+type outcomeRow struct {
+	exchange Exchange
+	result   balance.Result
 }
 
-// table is the protocol's table from exchange to outcome, the only one there is. What
-// proves that the attempt never ran is a matter of balance.Full, NoConnection and
-// NeverSent alone; a purchase is sent elsewhere, or refused, on that proof.
-func table() []row {
-	return []row{
+// outcomeTable is the protocol's table from exchange to outcome, and its only copy. The outcomes balance.Full,
+// NoConnection and NeverSent alone prove that the attempt never ran. Only on that proof is a purchase sent to
+// another pod or refused.
+func outcomeTable() []outcomeRow {
+	return []outcomeRow{
 		{JobDone, balance.OK},
 		{JobFailed, balance.Failed},
 		{Status500, balance.Failed},
 		{JobReturned, balance.Full},
-		{TurnedAway, balance.Full},
+		{Rejected, balance.Full},
 		{NotConnected, balance.NoConnection},
 		{BrokenBefore, balance.NoConnection},
 		{JobLost, balance.Reset},
 		{BrokenAfter, balance.Reset},
-		{Silence, balance.TimedOut},
+		{NoResponse, balance.TimedOut},
 		{GivenUp, balance.Cancelled},
 		{NotBegun, balance.NeverSent},
 	}
 }
 
-// Outcome looks an exchange up; ok is false for one that the table does not have.
+// Outcome returns the result of an exchange; ok is false if the table has no such exchange.
 func Outcome(x Exchange) (res balance.Result, ok bool) {
-	t := table()
-	i := slices.IndexFunc(t, func(r row) bool { return r.back == x })
+	table := outcomeTable()
+	i := slices.IndexFunc(table, func(r outcomeRow) bool { return r.exchange == x })
 	if i < 0 {
 		return balance.Failed, false
 	}
-	return t[i].result, true
+	return table[i].result, true
 }
 
-// JobState is the exchange that a call-back's state stands for, if it ends an attempt.
-func JobState(state string) Exchange {
+// ForJobState returns the exchange for a call-back's state, or "" if that state does not end an attempt.
+func ForJobState(state string) Exchange {
 	switch x := Exchange(state); x {
 	case JobDone, JobFailed, JobReturned, JobLost:
 		return x
@@ -70,10 +70,10 @@
 	return ""
 }
 
-// Answered is the exchange that an answer's status stands for, 202 apart.
-func Answered(status int, turnedAway bool) Exchange {
-	if (status == 503 || status == 504) && turnedAway {
-		return TurnedAway
+// ForStatus returns the exchange for a response's status, except 202.
+func ForStatus(status int, rejected bool) Exchange {
+	if (status == 503 || status == 504) && rejected {
+		return Rejected
 	}
 	return Status500
 }
--- a/internal/net/httpio/up.go
+++ b/internal/net/httpio/up.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Up asks a scheduler whether it is ready, within a time.
+// Up requests a scheduler's readiness page, and reports whether it is ready within the timeout.
 func Up(address string, within time.Duration) bool {
 	c, err := net.DialTimeout("tcp", address, within)
 	if err != nil {
--- a/internal/net/listener/connectionslots.go
+++ b/internal/net/listener/connectionslots.go
@@ -74,7 +74,7 @@
 	if evicted && slot.reason == closedByClient { // evict closed it in this process
 		slot.reason = closedEvicted
 	}
-	s.counts.Closes.Note(slot.reason)
+	s.counts.Closes.Add(slot.reason)
 	slot.conn.Close()
 	if !evicted {
 		s.budget.Give()
--- a/internal/net/listener/listener.go
+++ b/internal/net/listener/listener.go
@@ -123,7 +123,7 @@
 			// Every slot has a request in progress. Leaving the connection in the queue would also delay the
 			// call-backs behind it. A target retries its call-back.
 			l.Counts.TurnedOff.Add(1)
-			l.Counts.Closes.Note(closedNoSlot)
+			l.Counts.Closes.Add(closedNoSlot)
 			l.rejectConn(&handlers, conn)
 			continue
 		}
@@ -229,7 +229,7 @@
 // dataPending reports whether data has arrived on a connection that is about to be closed. That request is then
 // served or refused: its client may have sent it long before, and only this process was late to read it.
 func dataPending(c *httpio.Conn) bool {
-	pending, _ := c.Look()
+	pending, _ := c.Peek()
 	return pending
 }
 
@@ -332,7 +332,7 @@
 	disconnected := make(chan error, 1)
 	go func() {
 		var err error
-		overflowed, err = c.Watch()
+		overflowed, err = c.WatchClose()
 		disconnected <- err
 	}()
 	var answer core.Answer
--- a/internal/net/listener/parse.go
+++ b/internal/net/listener/parse.go
@@ -169,7 +169,7 @@
 		news.Progress = &core.Progress{Fraction: ev.Share}
 		return news, nil
 	}
-	result, ok := httpio.Outcome(httpio.JobState(ev.State))
+	result, ok := httpio.Outcome(httpio.ForJobState(ev.State))
 	if !ok {
 		return news, fmt.Errorf("unknown state %q", ev.State)
 	}
--- a/internal/net/target/close.go
+++ b/internal/net/target/close.go
@@ -20,7 +20,7 @@
 
 // discard closes a connection and returns its socket to the budget.
 func (t *Transport) discard(c *httpio.Conn, reason httpio.CloseReason) {
-	t.Counts.Closes.Note(reason)
+	t.Counts.Closes.Add(reason)
 	t.Log.Debug("connection closed", "target", c.RemoteAddr(), "reason", reason)
 	c.Close()
 	t.Sockets.Give()
--- a/internal/net/target/pool.go
+++ b/internal/net/target/pool.go
@@ -89,7 +89,7 @@
 
 // finishResponse reads the rest of a response and returns its connection to the pool.
 func (t *Transport) finishResponse(target *targetState, conn *httpio.Conn, resp *http.Response) {
-	rest, err := conn.ReadRest(resp, t.Clock.Deadline(bodyTimeout))
+	rest, err := conn.ReadBody(resp, t.Clock.Deadline(bodyTimeout))
 	if err != nil {
 		t.discard(conn, closedBodyIncomplete)
 		return
@@ -114,7 +114,7 @@
 	switch {
 	case closing:
 		return closedByTarget
-	case conn.Ahead():
+	case conn.Buffered():
 		return closedExtraData
 	case conn.SetDeadline(time.Time{}) != nil: // a deadline that expires while the connection is idle would make it look dead
 		return closedBroken
@@ -149,7 +149,7 @@
 			c := target.pool.idle[0].conn
 			target.pool.idle = target.pool.idle[1:]
 			target.pool.mu.Unlock()
-			t.Counts.Closes.Note(closedEvicted)
+			t.Counts.Closes.Add(closedEvicted)
 			c.Close()
 			return true
 		}
@@ -160,7 +160,7 @@
 
 // usable reports, without blocking, whether an idle connection is still open and has no unexpected data to read.
 func usable(c *httpio.Conn) bool {
-	received, err := c.Look()
+	received, err := c.Peek()
 	return !received && err == nil
 }
 
--- a/internal/net/target/target.go
+++ b/internal/net/target/target.go
@@ -295,7 +295,7 @@
 		switch {
 		case httpio.TimedOut(err):
 			t.discard(conn, closedTimeout)
-			return httpio.Silence, noReport
+			return httpio.NoResponse, noReport
 		case errors.Is(err, httpio.ErrMalformed), errors.Is(err, httpio.ErrTooLarge):
 			// The data is not a valid response. Closing the connection cancels the attempt. The target has to
 			// notice that before a further attempt starts, or that attempt would be a second copy.
@@ -311,7 +311,7 @@
 		t.recordIdle(idleTime, false)
 		// The head decides the outcome of the attempt. Its body may break off or never end, and must neither
 		// change nor delay the outcome.
-		if conn.RestIsHere(resp) {
+		if conn.BodyBuffered(resp) {
 			t.finishResponse(target, conn, resp)
 		} else {
 			go t.finishResponse(target, conn, resp)
@@ -324,7 +324,7 @@
 // then discards what it receives until closeTimeout. Closing with unread bytes would reset the connection, and the
 // target might not see its end.
 func (t *Transport) closeMalformed(conn *httpio.Conn) {
-	t.Counts.Closes.Note(closedMalformed)
+	t.Counts.Closes.Add(closedMalformed)
 	if half, ok := conn.Conn.(interface{ CloseWrite() error }); ok {
 		_ = half.CloseWrite()
 	}
@@ -350,7 +350,7 @@
 	if resp.StatusCode != 500 && rejected == "" {
 		t.Log.Warn("unexpected response", "target", a.Target, "status", resp.StatusCode)
 	}
-	return httpio.Answered(resp.StatusCode, rejected == "1")
+	return httpio.ForStatus(resp.StatusCode, rejected == "1")
 }
 
 // Cancel implements core.Transport. It cancels an attempt, and reports that once the target has noticed. An
@@ -500,7 +500,7 @@
 		t.discard(conn, closeReasonFor(err))
 		return 0, nil, "", fmt.Errorf("%s %s: %w", method, path, err)
 	}
-	body, err := conn.ReadRest(resp, deadline)
+	body, err := conn.ReadBody(resp, deadline)
 	if err != nil {
 		t.discard(conn, closeReasonFor(err))
 		return 0, nil, "", fmt.Errorf("%s %s: %w", method, path, err)
