--- a/internal/net/duties/duties.go
+++ b/internal/net/duties/duties.go
@@ -1,6 +1,8 @@
-// Package duties hosts a scheduler's part of the fleet on the network: one goroutine owns the state
-// machine, hears datagrams and the clock, and does what the machine says. Whoever acts on a duty asks
-// Holds first, which reads the clock at that moment and waits for nobody.
+// Package duties runs a scheduler's part of the fleet. It is given datagrams from the other schedulers, reports
+// about targets and tenants, and a clock. One goroutine owns the fleet's state machine, steps it at each event,
+// and executes its actions through the callbacks of Config. The package neither sends datagrams itself nor probes
+// targets. Before any act of a duty, the caller calls Holds, which reads the clock at that moment and does not
+// block.
 package duties
 
 import (
@@ -19,134 +21,135 @@
 	"cottonwell/internal/fleet/rules"
 )
 
-// queue is how many datagrams may wait for the machine; further ones are lost, as on the network.
-const queue = 512
+// queueLength is the number of events that may wait for the machine. Further ones are dropped, as a network does.
+const queueLength = 512
 
-// Config is what a host is made from.
+// Config configures a Host.
 type Config struct {
 	Fleet fleet.Config
 	Clock clock.Clock
 	Log   *slog.Logger
 	Tell  func(to int, raw string)
-	// Probe has a target probed, of which Probed is to tell; Judge has a target left out for so many ms (0:
-	// tried again). Both nil where nobody examines targets; neither may wait for the host.
+	// Probe starts a probe of a target; Probed reports its result. Judge excludes a target for lasts milliseconds
+	// (0: includes it again). Both are nil if no scheduler examines targets. Neither may block on the host.
 	Probe func(target string)
 	Judge func(target string, lasts float64)
-	// Share tells which part of what tenants ask lies within their shares, for so many ms. Nil where nobody
-	// adds that up; it may not wait either.
+	// Share reports the part of each tenant's requests that is within its share, for lasts milliseconds. Nil if
+	// shares are not added up. It may not block.
 	Share func(parts map[string]float64, lasts float64)
-	// Rule tells of the document that holds until a time of the clock, and of its strict form, which holds from
-	// then on. Nil where none is agreed on; it may not wait either.
+	// Rule reports the document in force until a time of the clock, and its strict form, which is in force from
+	// then on. Nil if no rules are agreed on. It may not block.
 	Rule func(now *rules.Doc, until float64, strict *rules.Doc)
 }
 
-// grant is what a duty was last granted for.
+// grant is the last grant of a duty.
 type grant struct {
 	number uint64
 	until  float64
 }
 
-// Host runs the machine.
+// Host runs the fleet's state machine of one scheduler.
 type Host struct {
-	c      Config
-	m      *fleet.Machine
-	alarm  clock.Alarm
-	events chan fleet.Event
-	end    chan chan struct{}
-	shows  chan struct{}
-	grants map[string]*atomic.Pointer[grant]
-	acts   []fleet.Action
-	ill    map[string]bool   // as judged last; of those that are listed
-	tenant map[string]int    // their places where shares are added up
-	counts []atomic.Uint64   // requests of each so far
-	asked  []uint64          // the same, as they stood at the last look
-	beyond map[string]bool   // tenants that ask for more than their shares, as told last
-	zones  map[string]string // of the listed targets
-	ruled  rules.Version     // acted on, as told last
-	strict bool
+	config        Config
+	machine       *fleet.Machine
+	alarm         clock.Alarm
+	events        chan fleet.Event
+	resignations  chan chan struct{}
+	showRequests  chan struct{}
+	grants        map[string]*atomic.Pointer[grant]
+	actions       []fleet.Action
+	unhealthy     map[string]bool   // the last decision for each listed target
+	tenantIndex   map[string]int    // index of each tenant in counts
+	counts        []atomic.Uint64   // requests of each tenant so far
+	countSnapshot []uint64          // counts at the last step
+	overShare     map[string]bool   // tenants over their shares, as last reported
+	zones         map[string]string // of the listed targets
+	rulesVersion  rules.Version     // the version in force, as last reported
+	strictRules   bool
 
-	Lost atomic.Int64 // datagrams that found the queue full
+	Lost atomic.Int64 // events dropped because the queue was full
 }
 
-// New returns a host that has not begun.
+// New returns a host. Run starts it.
 func New(c Config) (*Host, error) {
-	c.Fleet.Lease.Unsafe.NoFence = unfenced
+	c.Fleet.Lease.Unsafe.NoFence = fencingDisabled
 	if c.Fleet.Rules != nil {
-		c.Fleet.Rules.Unsafe.NoExpiry = stale
+		c.Fleet.Rules.Unsafe.NoExpiry = rulesNeverExpire
 	}
-	h := &Host{c: c, events: make(chan fleet.Event, queue), end: make(chan chan struct{}), shows: make(chan struct{}, 1), grants: map[string]*atomic.Pointer[grant]{}, ill: map[string]bool{}, beyond: map[string]bool{}, strict: true}
-	if r := c.Fleet.Rules; r != nil {
-		mayBe := r.Check
-		r.Check = func(d *rules.Doc) error {
-			if mayBe != nil {
-				if err := mayBe(d); err != nil {
+	h := &Host{config: c, events: make(chan fleet.Event, queueLength), resignations: make(chan chan struct{}), showRequests: make(chan struct{}, 1), grants: map[string]*atomic.Pointer[grant]{}, unhealthy: map[string]bool{}, overShare: map[string]bool{}, strictRules: true}
+	if agreement := c.Fleet.Rules; agreement != nil {
+		configured := agreement.Check
+		agreement.Check = func(d *rules.Doc) error {
+			if configured != nil {
+				if err := configured(d); err != nil {
 					return err
 				}
 			}
-			return h.mayDrain(d)
+			return h.checkDrains(d)
 		}
 	}
-	if s := c.Fleet.Shares; s != nil {
-		h.tenant, h.counts, h.asked = map[string]int{}, make([]atomic.Uint64, len(s.Tenants)), make([]uint64, len(s.Tenants))
-		for i, t := range s.Tenants {
-			h.tenant[t.Name] = i
+	if shares := c.Fleet.Shares; shares != nil {
+		h.tenantIndex, h.counts, h.countSnapshot = map[string]int{}, make([]atomic.Uint64, len(shares.Tenants)), make([]uint64, len(shares.Tenants))
+		for i, t := range shares.Tenants {
+			h.tenantIndex[t.Name] = i
 		}
 	}
 	for _, d := range c.Fleet.Lease.Duties {
 		h.grants[d.Name] = &atomic.Pointer[grant]{}
 	}
 	var err error
-	if h.m, err = fleet.New(h.c.Fleet, c.Clock.Now()); err != nil {
+	if h.machine, err = fleet.New(h.config.Fleet, c.Clock.Now()); err != nil {
 		return nil, err
 	}
 	return h, nil
 }
 
-// Heard hands in what another scheduler said, be it for the fleet or not: it lives. It does not wait.
+// Heard passes on a datagram of another scheduler. Any datagram, of the fleet or not, shows that its sender is
+// live. It does not block.
 func (h *Host) Heard(from int, raw string) {
 	h.post(fleet.Event{Kind: fleet.Heard, From: from, Raw: raw})
 }
 
-// Doubt tells that this scheduler has taken a target out of its draw. It does not wait.
+// Doubt reports that this scheduler suspects a target and has stopped choosing it. It does not block.
 func (h *Host) Doubt(target string, failing bool) {
 	h.post(fleet.Event{Kind: fleet.Doubted, Target: target, Failing: failing})
 }
 
-// Probed tells how a probe of a target ended, whoever asked for it. It does not wait.
+// Probed reports the result of a probe of a target, whoever requested it. It does not block.
 func (h *Host) Probed(target string, answered bool) {
 	h.post(fleet.Event{Kind: fleet.Probed, Target: target, Answered: answered})
 }
 
-// Listed tells of all targets that there are, with their zones. It does not wait; a list that is lost comes again with
-// the next change.
+// Listed reports all known targets with their zones. It does not block. A dropped list is repeated with the next
+// change.
 func (h *Host) Listed(zones map[string]string) {
 	h.post(fleet.Event{Kind: fleet.Listed, Targets: slices.Collect(maps.Keys(zones)), Zones: zones})
 }
 
-// Publish has a document put in force over the whole fleet, if all that live take it. It does not wait: what
-// becomes of it is in the log.
+// Publish requests that a document be put in force in the whole fleet, provided that all live members accept it.
+// It does not block: the log reports the result.
 func (h *Host) Publish(d *rules.Doc) { h.post(fleet.Event{Kind: fleet.Publish, Doc: d}) }
 
-// mayDrain refuses a document that takes away more of the listed targets than is safe at once.
-func (h *Host) mayDrain(d *rules.Doc) error {
-	targets, zones, out := map[string]bool{}, map[string]bool{}, 0
+// checkDrains rejects a document that drains more than half of the listed targets.
+func (h *Host) checkDrains(d *rules.Doc) error {
+	targets, zones, drained := map[string]bool{}, map[string]bool{}, 0
 	for _, x := range d.Drains {
 		targets[x.Target], zones[x.Zone] = true, true
 	}
 	for id, zone := range h.zones {
 		if targets[id] || zone != "" && zones[zone] {
-			out++
+			drained++
 		}
 	}
-	if 2*out > len(h.zones) && out > 0 {
-		return fmt.Errorf("it drains %d of %d targets, and may drain half of them", out, len(h.zones))
+	if 2*drained > len(h.zones) && drained > 0 {
+		return fmt.Errorf("it drains %d of %d targets, more than half", drained, len(h.zones))
 	}
 	return nil
 }
 
-// Asked counts a request of a tenant. It does not wait; a tenant without a share is not counted.
+// Asked counts a request of a tenant. It does not block. A tenant without a share is not counted.
 func (h *Host) Asked(tenant string) {
-	if i, ok := h.tenant[tenant]; ok {
+	if i, ok := h.tenantIndex[tenant]; ok {
 		h.counts[i].Add(1)
 	}
 }
@@ -159,50 +162,50 @@
 	}
 }
 
-// Holds says under which number this scheduler holds a duty now. What is done under it carries the
-// number, as this process may stand still after the answer.
+// Holds returns the number under which this scheduler holds a duty now. Every act of the duty must carry the
+// number, as this process may pause after the call.
 func (h *Host) Holds(duty string) (number uint64, ok bool) {
-	p := h.grants[duty]
-	if p == nil {
+	granted := h.grants[duty]
+	if granted == nil {
 		return 0, false
 	}
-	if g := p.Load(); g != nil && h.c.Clock.Now() < g.until {
+	if g := granted.Load(); g != nil && h.config.Clock.Now() < g.until {
 		return g.number, true
 	}
 	return 0, false
 }
 
-// Resign hands on all duties, and returns once the datagrams that do so are sent. Run must be running.
+// Resign hands over all duties, and returns once the datagrams that do so are sent. Run must be running.
 func (h *Host) Resign(ctx context.Context) {
 	done := make(chan struct{})
 	select {
-	case h.end <- done:
+	case h.resignations <- done:
 		<-done
 	case <-ctx.Done():
 	}
 }
 
-// Show has what this scheduler believes of all others and of all duties written to the log. It does not wait.
+// Show requests a log of this scheduler's view of all members and duties. It does not block.
 func (h *Host) Show() {
 	select {
-	case h.shows <- struct{}{}:
-	default: // it is about to be
+	case h.showRequests <- struct{}{}:
+	default: // a request is already pending
 	}
 }
 
 func (h *Host) show() {
-	all, held := h.m.View(h.c.Clock.Now())
-	for i, m := range all {
-		h.c.Log.Info("fleet member", "who", i, "address", m.Address, "state", m.State.String(), "since", m.Since)
+	schedulers, held := h.machine.View(h.config.Clock.Now())
+	for i, m := range schedulers {
+		h.config.Log.Info("fleet member", "who", i, "address", m.Address, "state", m.State.String(), "since", m.Since)
 	}
 	for _, d := range held {
-		h.c.Log.Info("fleet duty", "duty", d.Duty, "holder", d.Holder, "number", d.Number, "until", d.Until)
+		h.config.Log.Info("fleet duty", "duty", d.Duty, "holder", d.Holder, "number", d.Number, "until", d.Until)
 	}
 }
 
 // Run runs the machine until ctx ends.
 func (h *Host) Run(ctx context.Context) {
-	h.alarm = h.c.Clock.NewAlarm()
+	h.alarm = h.config.Clock.NewAlarm()
 	defer h.alarm.Stop()
 	h.step(fleet.Event{Kind: fleet.Due})
 	for {
@@ -213,122 +216,122 @@
 			h.step(ev)
 		case <-h.alarm.C():
 			h.step(fleet.Event{Kind: fleet.Due})
-		case <-h.shows:
+		case <-h.showRequests:
 			h.show()
-		case done := <-h.end:
+		case done := <-h.resignations:
 			h.step(fleet.Event{Kind: fleet.Resign})
 			close(done)
 		}
 	}
 }
 
-// step reads the clock only now that the event is in hand: a grant counts from when it was asked for, and
-// here from no earlier than when the asking came.
+// step runs the machine for one event. It reads the clock only after receiving the event: a grant counts from the
+// time of its request, and here from no earlier than the receipt of the request.
 func (h *Host) step(ev fleet.Event) {
-	now := h.c.Clock.Now()
-	ev.Wall = now // this clock began at the wall's time and goes on evenly
+	now := h.config.Clock.Now()
+	ev.Wall = now // the clock started at the wall time and runs evenly
 	if ev.Kind == fleet.Due && h.counts != nil {
 		for i := range h.counts {
-			h.asked[i] = h.counts[i].Load()
+			h.countSnapshot[i] = h.counts[i].Load()
 		}
-		ev.Asked = h.asked
+		ev.Asked = h.countSnapshot
 	}
-	if plain && ev.Kind == fleet.Publish {
+	if agreementDisabled && ev.Kind == fleet.Publish {
 		if _, digest, err := ev.Doc.Pack(); err == nil {
-			h.c.Rule(ev.Doc, math.Inf(1), ev.Doc)
-			h.c.Log.Info("rules in force", "number", 0, "a", digest, "b", 0, "strict", false, "at", now, "until", math.Inf(1))
+			h.config.Rule(ev.Doc, math.Inf(1), ev.Doc)
+			h.config.Log.Info("rules in force", "number", 0, "a", digest, "b", 0, "strict", false, "at", now, "until", math.Inf(1))
 		}
 		return
 	}
 	if ev.Kind == fleet.Listed {
 		h.zones = ev.Zones
-		maps.DeleteFunc(h.ill, func(id string, _ bool) bool { return !slices.Contains(ev.Targets, id) })
+		maps.DeleteFunc(h.unhealthy, func(id string, _ bool) bool { return !slices.Contains(ev.Targets, id) })
 	}
-	h.acts = h.m.Step(now, &ev, h.acts[:0])
-	for i := range h.acts {
-		h.do(now, &h.acts[i])
+	h.actions = h.machine.Step(now, &ev, h.actions[:0])
+	for i := range h.actions {
+		h.apply(now, &h.actions[i])
 	}
-	for name, p := range h.grants { // what was granted anew is told by no action
-		if g, until := p.Load(), h.until(name); g != nil && until > g.until {
+	for name, p := range h.grants { // the machine reports a renewed grant with no action
+		if g, until := p.Load(), h.holdUntil(name); g != nil && until > g.until {
 			p.Store(&grant{g.number, until})
-			h.c.Log.Debug("duty kept", "duty", name, "number", g.number, "at", now, "until", until)
+			h.config.Log.Debug("duty kept", "duty", name, "number", g.number, "at", now, "until", until)
 		}
 	}
 }
 
-// until is when this scheduler ceases to hold a duty unless it is granted anew.
-func (h *Host) until(duty string) float64 {
-	if forever {
+// holdUntil returns when this scheduler ceases to hold a duty unless the grant is renewed.
+func (h *Host) holdUntil(duty string) float64 {
+	if leasesNeverExpire {
 		return math.MaxInt64
 	}
-	return h.m.Until(duty)
+	return h.machine.Until(duty)
 }
 
-// ruleUntil is when a document's time is over; infinite for a strict form, which is the last.
+// ruleUntil returns when a document expires. A strict form never does, as it is the last.
 func (h *Host) ruleUntil(a *fleet.Action) float64 {
-	if a.Strict || stale {
+	if a.Strict || rulesNeverExpire {
 		return math.Inf(1)
 	}
 	return a.At
 }
 
-func (h *Host) do(now float64, a *fleet.Action) {
-	switch a.Kind {
+func (h *Host) apply(now float64, action *fleet.Action) {
+	switch action.Kind {
 	case fleet.Tell:
-		h.c.Tell(a.To, a.Raw)
+		h.config.Tell(action.To, action.Raw)
 	case fleet.Wake:
-		h.alarm.Set(a.At)
+		h.alarm.Set(action.At)
 	case fleet.Gained:
-		until := h.until(a.Duty)
-		h.grants[a.Duty].Store(&grant{a.Number, until})
-		h.c.Log.Info("duty gained", "duty", a.Duty, "number", a.Number, "at", now, "until", until)
+		until := h.holdUntil(action.Duty)
+		h.grants[action.Duty].Store(&grant{action.Number, until})
+		h.config.Log.Info("duty gained", "duty", action.Duty, "number", action.Number, "at", now, "until", until)
 	case fleet.Lost:
-		h.grants[a.Duty].Store(nil)
-		h.c.Log.Info("duty lost", "duty", a.Duty, "number", a.Number, "at", now, "cause", a.Note)
+		h.grants[action.Duty].Store(nil)
+		h.config.Log.Info("duty lost", "duty", action.Duty, "number", action.Number, "at", now, "cause", action.Note)
 	case fleet.Took:
-		h.c.Log.Debug("duty act taken", "duty", a.Duty, "number", a.Number, "holder", a.To, "at", now)
+		h.config.Log.Debug("duty act taken", "duty", action.Duty, "number", action.Number, "holder", action.To, "at", now)
 	case fleet.Refused:
-		h.c.Log.Info("duty act refused", "duty", a.Duty, "number", a.Number, "holder", a.To, "at", now)
+		h.config.Log.Info("duty act refused", "duty", action.Duty, "number", action.Number, "holder", action.To, "at", now)
 	case fleet.Learnt:
-		h.c.Log.Info("duty held", "duty", a.Duty, "number", a.Number, "holder", a.To)
+		h.config.Log.Info("duty held", "duty", action.Duty, "number", action.Number, "holder", action.To)
 	case fleet.Probe:
-		h.c.Probe(a.Target)
+		h.config.Probe(action.Target)
 	case fleet.Judged:
-		h.c.Judge(a.Target, a.Lasts)
-		if ill := a.Lasts > 0; ill != h.ill[a.Target] {
-			h.ill[a.Target] = ill
-			h.c.Log.Info("target judged", "duty", a.Duty, "number", a.Number, "target", a.Target, "ill", ill, "at", now)
+		h.config.Judge(action.Target, action.Lasts)
+		if unhealthy := action.Lasts > 0; unhealthy != h.unhealthy[action.Target] {
+			h.unhealthy[action.Target] = unhealthy
+			h.config.Log.Info("target judged", "duty", action.Duty, "number", action.Number, "target", action.Target, "ill", unhealthy, "at", now)
 		}
 	case fleet.Shared:
-		h.c.Share(a.Parts, a.Lasts)
-		for name := range h.tenant {
-			part, beyond := a.Parts[name]
-			if beyond != h.beyond[name] {
-				h.beyond[name] = beyond
-				h.c.Log.Info("tenant judged", "duty", a.Duty, "number", a.Number, "tenant", name, "beyond", beyond, "part", cmp.Or(part, 1), "at", now)
+		h.config.Share(action.Parts, action.Lasts)
+		for name := range h.tenantIndex {
+			part, overShare := action.Parts[name]
+			if overShare != h.overShare[name] {
+				h.overShare[name] = overShare
+				h.config.Log.Info("tenant judged", "duty", action.Duty, "number", action.Number, "tenant", name, "beyond", overShare, "part", cmp.Or(part, 1), "at", now)
 			}
 		}
 	case fleet.Rule:
-		if plain {
+		if agreementDisabled {
 			return
 		}
-		h.c.Rule(a.Doc, h.ruleUntil(a), rules.Strict(a.Doc, h.c.Fleet.Rules.Classes, h.c.Fleet.Rules.Fleet))
-		level := slog.LevelDebug // that it holds for longer
-		if a.Version != h.ruled || a.Strict != h.strict {
-			level, h.ruled, h.strict = slog.LevelInfo, a.Version, a.Strict
+		h.config.Rule(action.Doc, h.ruleUntil(action), rules.Strict(action.Doc, h.config.Fleet.Rules.Classes, h.config.Fleet.Rules.Fleet))
+		level := slog.LevelDebug // only its end has changed
+		if action.Version != h.rulesVersion || action.Strict != h.strictRules {
+			level, h.rulesVersion, h.strictRules = slog.LevelInfo, action.Version, action.Strict
 		}
-		h.c.Log.Log(context.Background(), level, "rules in force", "number", a.Version.Number, "a", a.Version.A, "b", a.Version.B, "strict", a.Strict, "at", now, "until", h.ruleUntil(a))
+		h.config.Log.Log(context.Background(), level, "rules in force", "number", action.Version.Number, "a", action.Version.A, "b", action.Version.B, "strict", action.Strict, "at", now, "until", h.ruleUntil(action))
 	case fleet.Adopted:
-		h.c.Log.Info("rules adopted by all", "number", a.Version.Number, "a", a.Version.A, "at", now)
+		h.config.Log.Info("rules adopted by all", "number", action.Version.Number, "a", action.Version.A, "at", now)
 	case fleet.Dropped:
-		h.c.Log.Warn("rules refused", "a", a.Digest, "by", a.To, "cause", a.Note, "at", now)
+		h.config.Log.Warn("rules refused", "a", action.Digest, "by", action.To, "cause", action.Note, "at", now)
 	case fleet.Alarm:
-		h.c.Log.Error("rules alarm", "number", a.Version.Number, "from", a.To, "cause", a.Note, "at", now)
+		h.config.Log.Error("rules alarm", "number", action.Version.Number, "from", action.To, "cause", action.Note, "at", now)
 	case fleet.Changed:
 		level := slog.LevelInfo
-		if a.State == members.Dead {
+		if action.State == members.Dead {
 			level = slog.LevelWarn
 		}
-		h.c.Log.Log(context.Background(), level, "member", "who", a.To, "state", a.State.String(), "living", h.m.Living())
+		h.config.Log.Log(context.Background(), level, "member", "who", action.To, "state", action.State.String(), "living", h.machine.Living())
 	}
 }
--- a/internal/net/duties/duties_test.go
+++ b/internal/net/duties/duties_test.go
@@ -22,19 +22,19 @@
 	"cottonwell/internal/fleet/shares"
 )
 
-// tier is some hosts on one clock that is set by hand, and a way between them.
-type tier struct {
-	hosts []*Host
-	ends  []context.CancelFunc
-	logs  []*buffer
-	clock *clock.Manual
-	all   sync.WaitGroup
+// testFleet is a set of hosts on one manual clock, with the transport between them.
+type testFleet struct {
+	hosts   []*Host
+	cancels []context.CancelFunc
+	logs    []*buffer
+	clock   *clock.Manual
+	running sync.WaitGroup
 
-	mu     sync.Mutex
-	silent map[string]bool // targets that answer no probe
-	out    map[string]map[int]bool
-	parts  map[int]map[string]float64
-	ruled  map[int]*rules.Doc
+	mu       sync.Mutex
+	silent   map[string]bool // targets that respond to no probe
+	excluded map[string]map[int]bool
+	parts    map[int]map[string]float64
+	applied  map[int]*rules.Doc
 }
 
 type buffer struct {
@@ -54,8 +54,8 @@
 	return b.b.String()
 }
 
-func start(t *testing.T, n int) *tier {
-	x := &tier{clock: clock.NewManual(1e9), silent: map[string]bool{}, out: map[string]map[int]bool{"a": {}, "b": {}, "c": {}, "d": {}}, parts: map[int]map[string]float64{}, ruled: map[int]*rules.Doc{}}
+func startFleet(t *testing.T, n int) *testFleet {
+	group := &testFleet{clock: clock.NewManual(1e9), silent: map[string]bool{}, excluded: map[string]map[int]bool{"a": {}, "b": {}, "c": {}, "d": {}}, parts: map[int]map[string]float64{}, applied: map[int]*rules.Doc{}}
 	for i := range n {
 		c := fleet.Config{Members: members.Default(), Lease: lease.Default()}
 		c.Members.Self, c.Members.Fleet = i, n
@@ -74,46 +74,46 @@
 			c.Addresses = append(c.Addresses, fmt.Sprint(k))
 		}
 		log := &buffer{}
-		h, err := New(Config{Fleet: c, Clock: x.clock, Log: slog.New(slog.NewTextHandler(log, nil)), Tell: func(to int, raw string) { x.hosts[to].Heard(i, raw) },
+		h, err := New(Config{Fleet: c, Clock: group.clock, Log: slog.New(slog.NewTextHandler(log, nil)), Tell: func(to int, raw string) { group.hosts[to].Heard(i, raw) },
 			Probe: func(target string) {
-				x.mu.Lock()
-				defer x.mu.Unlock()
-				x.hosts[i].Probed(target, !x.silent[target])
+				group.mu.Lock()
+				defer group.mu.Unlock()
+				group.hosts[i].Probed(target, !group.silent[target])
 			},
 			Judge: func(target string, lasts float64) {
-				x.mu.Lock()
-				defer x.mu.Unlock()
-				x.out[target][i] = lasts > 0
+				group.mu.Lock()
+				defer group.mu.Unlock()
+				group.excluded[target][i] = lasts > 0
 			},
 			Rule: func(now *rules.Doc, _ float64, _ *rules.Doc) {
-				x.mu.Lock()
-				defer x.mu.Unlock()
-				x.ruled[i] = now
+				group.mu.Lock()
+				defer group.mu.Unlock()
+				group.applied[i] = now
 			},
 			Share: func(parts map[string]float64, _ float64) {
-				x.mu.Lock()
-				defer x.mu.Unlock()
-				x.parts[i] = parts
+				group.mu.Lock()
+				defer group.mu.Unlock()
+				group.parts[i] = parts
 			}})
 		require.NoError(t, err)
-		x.hosts, x.logs = append(x.hosts, h), append(x.logs, log)
+		group.hosts, group.logs = append(group.hosts, h), append(group.logs, log)
 	}
-	for _, h := range x.hosts {
+	for _, h := range group.hosts {
 		ctx, end := context.WithCancel(context.Background())
-		x.ends = append(x.ends, end)
-		x.all.Go(func() { h.Run(ctx) })
+		group.cancels = append(group.cancels, end)
+		group.running.Go(func() { h.Run(ctx) })
 	}
 	t.Cleanup(func() {
-		for _, end := range x.ends {
+		for _, end := range group.cancels {
 			end()
 		}
-		x.all.Wait()
+		group.running.Wait()
 		goleak.VerifyNone(t)
 	})
-	return x
+	return group
 }
 
-func (x *tier) holder() int {
+func (x *testFleet) holder() int {
 	for i, h := range x.hosts {
 		if _, ok := h.Holds("examiner"); ok {
 			return i
@@ -122,78 +122,79 @@
 	return -1
 }
 
-// until moves the clock on in small steps until something is so.
-func (x *tier) until(t *testing.T, what func() bool) {
+// advanceUntil advances the clock in small steps until the condition holds.
+func (x *testFleet) advanceUntil(t *testing.T, condition func() bool) {
 	require.Eventually(t, func() bool {
 		x.clock.Advance(5)
-		return what()
+		return condition()
 	}, 30*time.Second, time.Millisecond)
 }
 
-func TestHostsShareOutADutyAndHandItOn(t *testing.T) {
-	x := start(t, 3)
-	x.until(t, func() bool { return x.holder() >= 0 })
-	one := x.holder()
-	number, _ := x.hosts[one].Holds("examiner")
-	_, ok := x.hosts[one].Holds("no such duty")
+func TestDutyIsHandedOverOnResign(t *testing.T) {
+	group := startFleet(t, 3)
+	group.advanceUntil(t, func() bool { return group.holder() >= 0 })
+	first := group.holder()
+	number, _ := group.hosts[first].Holds("examiner")
+	_, ok := group.hosts[first].Holds("no such duty")
 	require.False(t, ok)
-	x.hosts[one].Resign(context.Background())
-	_, ok = x.hosts[one].Holds("examiner")
-	require.False(t, ok, "given up at once")
-	x.until(t, func() bool { return x.holder() >= 0 })
-	two := x.holder()
-	require.NotEqual(t, one, two)
-	next, _ := x.hosts[two].Holds("examiner")
+	group.hosts[first].Resign(context.Background())
+	_, ok = group.hosts[first].Holds("examiner")
+	require.False(t, ok, "resigned at once")
+	group.advanceUntil(t, func() bool { return group.holder() >= 0 })
+	second := group.holder()
+	require.NotEqual(t, first, second)
+	next, _ := group.hosts[second].Holds("examiner")
 	require.Greater(t, next, number)
-	require.Contains(t, x.logs[one].String(), `msg="duty lost" duty=examiner`)
-	require.Contains(t, x.logs[two].String(), `msg="duty gained" duty=examiner`)
+	require.Contains(t, group.logs[first].String(), `msg="duty lost" duty=examiner`)
+	require.Contains(t, group.logs[second].String(), `msg="duty gained" duty=examiner`)
 
-	// One that stood still holds nothing by the time it is asked, whatever its machine has not seen yet.
-	x.clock.Advance(10_000)
-	_, ok = x.hosts[two].Holds("examiner")
+	// A host that was paused does not hold the duty when asked, though its machine has not seen the time pass.
+	group.clock.Advance(10_000)
+	_, ok = group.hosts[second].Holds("examiner")
 	require.False(t, ok)
 }
 
-// Whoever holds the duty judges for all: a silent target only after it has looked, and not once it is gone.
-func TestHostsLeaveOutWhatTheExaminerJudges(t *testing.T) {
-	x := start(t, 5)
-	for _, h := range x.hosts {
+// The holder of the duty decides for all hosts: a silent target is excluded only after the holder has probed it,
+// and is included again once it responds.
+func TestHostsExcludeUnhealthyTargets(t *testing.T) {
+	group := startFleet(t, 5)
+	for _, h := range group.hosts {
 		h.Listed(map[string]string{"a": "x", "b": "x", "c": "x", "d": "x"})
 	}
-	x.until(t, func() bool { return x.holder() >= 0 })
-	outs := func(target string) (n int) {
-		x.mu.Lock()
-		defer x.mu.Unlock()
-		for _, yes := range x.out[target] {
+	group.advanceUntil(t, func() bool { return group.holder() >= 0 })
+	excludedAt := func(target string) (n int) {
+		group.mu.Lock()
+		defer group.mu.Unlock()
+		for _, yes := range group.excluded[target] {
 			if yes {
 				n++
 			}
 		}
 		return n
 	}
-	x.mu.Lock()
-	x.silent["b"] = true
-	x.mu.Unlock()
-	for _, h := range x.hosts[1:4] {
-		h.Doubt("a", false) // it answers
+	group.mu.Lock()
+	group.silent["b"] = true
+	group.mu.Unlock()
+	for _, h := range group.hosts[1:4] {
+		h.Doubt("a", false) // it responds
 		h.Doubt("b", false)
 	}
-	x.until(t, func() bool { return outs("b") == 5 })
-	require.Zero(t, outs("a"))
-	x.mu.Lock()
-	x.silent["b"] = false
-	x.mu.Unlock()
-	x.until(t, func() bool { return outs("b") == 0 })
-	require.Regexp(t, `msg="target judged" duty=examiner number=\d+ target=b ill=false`, x.logs[0].String())
+	group.advanceUntil(t, func() bool { return excludedAt("b") == 5 })
+	require.Zero(t, excludedAt("a"))
+	group.mu.Lock()
+	group.silent["b"] = false
+	group.mu.Unlock()
+	group.advanceUntil(t, func() bool { return excludedAt("b") == 0 })
+	require.Regexp(t, `msg="target judged" duty=examiner number=\d+ target=b ill=false`, group.logs[0].String())
 }
 
-// Whoever holds the duty adds up what comes to all, and all know who asks for more than its share.
-func TestHostsAddUpWhatTenantsAskFor(t *testing.T) {
-	x := start(t, 5)
-	beyond := func(tenant string) (n int) {
-		x.mu.Lock()
-		defer x.mu.Unlock()
-		for _, p := range x.parts {
+// The holder of the duty adds up the requests of all hosts, and all hosts learn which tenant is over its share.
+func TestHostsAddUpTenantRequests(t *testing.T) {
+	group := startFleet(t, 5)
+	overShareAt := func(tenant string) (n int) {
+		group.mu.Lock()
+		defer group.mu.Unlock()
+		for _, p := range group.parts {
 			if _, yes := p[tenant]; yes {
 				n++
 			}
@@ -201,61 +202,63 @@
 		return n
 	}
 	steps := 0
-	x.until(t, func() bool { // each 5 ms
-		for _, h := range x.hosts {
+	group.advanceUntil(t, func() bool { // each 5 ms
+		for _, h := range group.hosts {
 			h.Asked("much")
-			h.Asked("nobody's")
+			h.Asked("unknown")
 		}
 		if steps++; steps%4 == 0 {
-			x.hosts[0].Asked("little") // 50 a second
+			group.hosts[0].Asked("little") // 50 requests/s
 		}
-		return beyond("much") == 5
+		return overShareAt("much") == 5
 	})
-	require.Zero(t, beyond("little"))
-	require.Regexp(t, `msg="tenant judged" duty=accountant number=\d+ tenant=much beyond=true part=0.\d+`, x.logs[0].String())
-	x.until(t, func() bool { return beyond("much") == 0 })
-	x.hosts[2].Show()
-	x.until(t, func() bool { return strings.Contains(x.logs[2].String(), `msg="fleet duty" duty=accountant holder=`) })
-	require.Contains(t, x.logs[2].String(), `msg="fleet member" who=4 address=4 state=living`)
+	require.Zero(t, overShareAt("little"))
+	require.Regexp(t, `msg="tenant judged" duty=accountant number=\d+ tenant=much beyond=true part=0.\d+`, group.logs[0].String())
+	group.advanceUntil(t, func() bool { return overShareAt("much") == 0 })
+	group.hosts[2].Show()
+	group.advanceUntil(t, func() bool {
+		return strings.Contains(group.logs[2].String(), `msg="fleet duty" duty=accountant holder=`)
+	})
+	require.Contains(t, group.logs[2].String(), `msg="fleet member" who=4 address=4 state=living`)
 }
 
-// A document that one of them is given is in force at all, and one that drains too much at none.
+// A document published at one host comes into force at all hosts, and one that drains too much at none.
 func TestHostsAgreeOnRules(t *testing.T) {
-	x := start(t, 5)
-	for _, h := range x.hosts {
+	group := startFleet(t, 5)
+	for _, h := range group.hosts {
 		h.Listed(map[string]string{"a": "x", "b": "x", "c": "y", "d": "y"})
 	}
 	drained := func() (n int) {
-		x.mu.Lock()
-		defer x.mu.Unlock()
-		for _, d := range x.ruled {
+		group.mu.Lock()
+		defer group.mu.Unlock()
+		for _, d := range group.applied {
 			if len(d.Drains) == 1 && d.Drains[0].Zone == "y" {
 				n++
 			}
 		}
 		return n
 	}
-	x.until(t, func() bool {
-		return strings.Contains(x.logs[3].String(), "rules in force") && strings.Contains(x.logs[3].String(), "strict=false")
+	group.advanceUntil(t, func() bool {
+		return strings.Contains(group.logs[3].String(), "rules in force") && strings.Contains(group.logs[3].String(), "strict=false")
 	})
-	x.hosts[3].Publish(&rules.Doc{Drains: []rules.Drain{{Zone: "y"}}})
-	x.until(t, func() bool { return drained() == 5 })
-	x.hosts[2].Publish(&rules.Doc{Drains: []rules.Drain{{Zone: "y"}, {Target: "a"}}})
-	x.until(t, func() bool {
-		return strings.Contains(x.logs[2].String(), "it drains 3 of 4 targets, and may drain half of them")
+	group.hosts[3].Publish(&rules.Doc{Drains: []rules.Drain{{Zone: "y"}}})
+	group.advanceUntil(t, func() bool { return drained() == 5 })
+	group.hosts[2].Publish(&rules.Doc{Drains: []rules.Drain{{Zone: "y"}, {Target: "a"}}})
+	group.advanceUntil(t, func() bool {
+		return strings.Contains(group.logs[2].String(), "it drains 3 of 4 targets, more than half")
 	})
 	require.Equal(t, 5, drained())
 }
 
-// A full queue loses datagrams, as the network does, and is counted.
-func TestAFullQueueLosesDatagrams(t *testing.T) {
-	x := &tier{clock: clock.NewManual(1e9)}
+// A full queue drops datagrams, as a network does, and counts them.
+func TestFullQueueDropsDatagrams(t *testing.T) {
+	group := &testFleet{clock: clock.NewManual(1e9)}
 	c := fleet.Config{Members: members.Default(), Lease: lease.Default(), Addresses: []string{"a", "b"}}
 	c.Members.Fleet, c.Lease.Fleet, c.Lease.Voters = 2, 2, 2
-	h, err := New(Config{Fleet: c, Clock: x.clock, Log: slog.New(slog.DiscardHandler), Tell: func(int, string) {}})
+	h, err := New(Config{Fleet: c, Clock: group.clock, Log: slog.New(slog.DiscardHandler), Tell: func(int, string) {}})
 	require.NoError(t, err)
-	for range queue + 7 {
-		h.Heard(1, "word")
+	for range queueLength + 7 {
+		h.Heard(1, "datagram")
 	}
 	require.EqualValues(t, 7, h.Lost.Load())
 }
--- a/internal/net/duties/fence_wrong.go
+++ b/internal/net/duties/fence_wrong.go
@@ -3,8 +3,8 @@
 package duties
 
 const (
-	forever  = false
-	unfenced = true
-	plain    = false
-	stale    = false
+	leasesNeverExpire = false
+	fencingDisabled   = true
+	agreementDisabled = false
+	rulesNeverExpire  = false
 )
--- a/internal/net/duties/plain_wrong.go
+++ b/internal/net/duties/plain_wrong.go
@@ -3,8 +3,8 @@
 package duties
 
 const (
-	forever  = false
-	unfenced = false
-	plain    = true
-	stale    = false
+	leasesNeverExpire = false
+	fencingDisabled   = false
+	agreementDisabled = true
+	rulesNeverExpire  = false
 )
--- a/internal/net/duties/rules_wrong.go
+++ b/internal/net/duties/rules_wrong.go
@@ -3,8 +3,8 @@
 package duties
 
 const (
-	forever  = false
-	unfenced = false
-	plain    = false
-	stale    = true
+	leasesNeverExpire = false
+	fencingDisabled   = false
+	agreementDisabled = false
+	rulesNeverExpire  = true
 )
--- a/internal/net/duties/trust.go
+++ b/internal/net/duties/trust.go
@@ -2,10 +2,11 @@
 
 package duties
 
-// These are true only in variants made wrong on purpose, so that the rig's checker is seen to find what it is to find.
+// These constants are true only in builds that are faulty on purpose, which test that the rig's checker finds the
+// fault.
 const (
-	forever  = false // a holder goes on believing what it believed last
-	unfenced = false // acts are taken under any number
-	plain    = false // each acts on a document as soon as it reads it
-	stale    = false // versions are acted on until something newer is heard of
+	leasesNeverExpire = false // a holder keeps believing its last state
+	fencingDisabled   = false // acts are accepted under any number
+	agreementDisabled = false // each scheduler applies a document as soon as it reads it
+	rulesNeverExpire  = false // a version stays in force until a newer one is received
 )
--- a/internal/net/duties/trust_wrong.go
+++ b/internal/net/duties/trust_wrong.go
@@ -3,8 +3,8 @@
 package duties
 
 const (
-	forever  = true
-	unfenced = false
-	plain    = false
-	stale    = false
+	leasesNeverExpire = true
+	fencingDisabled   = false
+	agreementDisabled = false
+	rulesNeverExpire  = false
 )
