--- a/internal/net/handover/handover.go
+++ b/internal/net/handover/handover.go
@@ -1,6 +1,8 @@
-// Package handover lets two processes of one scheduler, the old and the new version, work side by side for a while. Each has
-// a socket in a directory that both know. Over it they pass on news of jobs of the other one, tell of targets under
-// maintenance, and say whether they take clients. The words are HTTP with JSON bodies.
+// Package handover connects two processes of one scheduler, the old and the new version, while they run side by
+// side. Each process has a Unix socket in a common directory, and finds the others there. Over it a process
+// forwards news of jobs that the other one holds, announces targets under maintenance, and reports whether it
+// accepts clients. The messages are HTTP with JSON bodies. The package neither starts nor stops a process, and
+// does not retry a message.
 package handover
 
 import (
@@ -23,82 +25,83 @@
 )
 
 const (
-	wordWithin = 300 * time.Millisecond // for a word to another process and its answer
-	wordsMost  = 64                     // under way at once; further ones are dropped
-	bodyMost   = 1 << 20                // bytes
-	ownerOnly  = 0o600
-	pathMost   = 100 // bytes that the system allows for a socket's path, less a few
+	messageTimeout = 300 * time.Millisecond // for a message to another process and its response
+	maxMessages    = 64                     // messages in flight; further ones are dropped
+	maxBody        = 1 << 20                // bytes
+	ownerOnly      = 0o600
+	maxPath        = 100 // bytes; the system's limit for a socket path, less a few
 )
 
-// Process is what the other process's words act on.
+// Process is the part of this process on which the messages of another one act.
 type Process interface {
 	Ready() bool
 	News(core.TargetNews)
-	// Maintain puts a target offline or online.
+	// Maintain sets a target offline or online.
 	Maintain(target string, offline bool)
-	// Maintained are the targets that are offline.
+	// Maintained returns the targets that are offline.
 	Maintained() []string
 }
 
-// Counts are a link's figures, for the log.
+// Counts are the counters of a link, for the log.
 type Counts struct{ PassedOn, Dropped atomic.Int64 }
 
-// Link is a process's socket, and its way to other processes of the same scheduler.
+// Link is a process's own socket, and its connection to the other processes of the scheduler.
 type Link struct {
-	Counts  Counts
-	process Process
-	log     *slog.Logger
-	pattern string // of all processes' sockets
-	path    string // of its own
-	ln      net.Listener
-	words   chan struct{} // a place for each word under way
+	Counts   Counts
+	process  Process
+	log      *slog.Logger
+	pattern  string // of the sockets of all processes
+	path     string // of this process's socket
+	listener net.Listener
+	inFlight chan struct{} // holds one entry for each message in flight
 }
 
-// maintenance is the word about a target.
+// maintenance is the message about a target.
 type maintenance struct {
 	Target  string `json:"target"`
 	Offline bool   `json:"offline"`
 }
 
-// Open listens at a socket of this process in a directory. The scheduler is named by its clients' address, too: others of the
-// same name may use the same directory.
+// Open listens on a socket of this process in a directory. The file name identifies the scheduler by its name and
+// its clients' address, so that other schedulers of the same name may use the same directory.
 func Open(dir, name, listen string, p Process, log *slog.Logger) (*Link, error) {
-	h := fnv.New64a()
-	_, _ = h.Write([]byte(name + "@" + listen))
-	prefix := filepath.Join(dir, fmt.Sprintf("cottonwell-%x", h.Sum64()))
-	l := &Link{process: p, log: log, pattern: prefix + "-*.sock", words: make(chan struct{}, wordsMost),
+	hash := fnv.New64a()
+	_, _ = hash.Write([]byte(name + "@" + listen))
+	prefix := filepath.Join(dir, fmt.Sprintf("cottonwell-%x", hash.Sum64()))
+	l := &Link{process: p, log: log, pattern: prefix + "-*.sock", inFlight: make(chan struct{}, maxMessages),
 		path: fmt.Sprintf("%s-%d.sock", prefix, os.Getpid())}
-	if len(l.path) > pathMost {
-		return nil, fmt.Errorf("handover: the path %s is over %d bytes long", l.path, pathMost)
+	if len(l.path) > maxPath {
+		return nil, fmt.Errorf("handover: the path %s is longer than %d bytes", l.path, maxPath)
 	}
 	var err error
-	if l.ln, err = listenAt(l.path); err != nil {
+	if l.listener, err = listenAt(l.path); err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
 	return l, nil
 }
 
-// listenAt listens at a path, which is there only once it can be called: others remove those at which nobody listens.
+// listenAt listens on a path. The path appears only once the socket accepts connections: other processes remove
+// sockets that refuse them.
 func listenAt(path string) (net.Listener, error) {
-	first := path + ".new"
-	for _, old := range []string{first, path} { // of an earlier process of this number
-		if err := os.Remove(old); err != nil && !errors.Is(err, os.ErrNotExist) {
+	temporary := path + ".new"
+	for _, stale := range []string{temporary, path} { // left by an earlier process with the same process ID
+		if err := os.Remove(stale); err != nil && !errors.Is(err, os.ErrNotExist) {
 			return nil, err
 		}
 	}
-	ln, err := net.ListenUnix("unix", &net.UnixAddr{Name: first, Net: "unix"})
+	ln, err := net.ListenUnix("unix", &net.UnixAddr{Name: temporary, Net: "unix"})
 	if err != nil {
 		return nil, err
 	}
 	ln.SetUnlinkOnClose(false)
-	if err := errors.Join(os.Chmod(first, ownerOnly), os.Rename(first, path)); err != nil {
+	if err := errors.Join(os.Chmod(temporary, ownerOnly), os.Rename(temporary, path)); err != nil {
 		ln.Close()
 		return nil, err
 	}
 	return ln, nil
 }
 
-// Serve answers the other process until ctx ends.
+// Serve handles the messages of other processes until ctx ends.
 func (l *Link) Serve(ctx context.Context) error {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /ready", func(w http.ResponseWriter, _ *http.Request) {
@@ -111,38 +114,38 @@
 	})
 	mux.HandleFunc("POST /maintained", func(w http.ResponseWriter, r *http.Request) {
 		var m maintenance
-		if read(w, r, &m) {
+		if decodeBody(w, r, &m) {
 			l.process.Maintain(m.Target, m.Offline)
 		}
 	})
 	mux.HandleFunc("POST /news", func(w http.ResponseWriter, r *http.Request) {
 		var n core.TargetNews
-		if read(w, r, &n) {
+		if decodeBody(w, r, &n) {
 			n.PassedOn = true
 			l.process.News(n)
 		}
 	})
-	server := &http.Server{Handler: mux, ReadTimeout: wordWithin, WriteTimeout: 2 * wordWithin,
+	server := &http.Server{Handler: mux, ReadTimeout: messageTimeout, WriteTimeout: 2 * messageTimeout,
 		ErrorLog: slog.NewLogLogger(l.log.Handler(), slog.LevelDebug)}
 	server.SetKeepAlivesEnabled(false)
 	defer os.Remove(l.path)
 	defer context.AfterFunc(ctx, func() { server.Close() })()
-	if err := server.Serve(l.ln); !errors.Is(err, http.ErrServerClosed) {
+	if err := server.Serve(l.listener); !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("handover: %w", err)
 	}
 	return nil
 }
 
-func read(w http.ResponseWriter, r *http.Request, to any) bool {
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, bodyMost)).Decode(to); err != nil {
+func decodeBody(w http.ResponseWriter, r *http.Request, value any) bool {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(value); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return false
 	}
 	return true
 }
 
-// others are the sockets of the scheduler's other processes.
-func (l *Link) others() (paths []string) {
+// otherSockets returns the sockets of the scheduler's other processes.
+func (l *Link) otherSockets() (paths []string) {
 	found, _ := filepath.Glob(l.pattern)
 	for _, path := range found {
 		if path != l.path {
@@ -152,34 +155,34 @@
 	return paths
 }
 
-// PassOn tells the other processes of news about a job that is unknown here. It does not wait.
-func (l *Link) PassOn(n core.TargetNews) { l.tell("/news", n) }
+// PassOn forwards news about a job that is unknown here to the other processes. It does not block.
+func (l *Link) PassOn(n core.TargetNews) { l.send("/news", n) }
 
-// Maintain tells them that a target is offline or online. It does not wait.
+// Maintain announces to the other processes that a target is offline or online. It does not block.
 func (l *Link) Maintain(target string, offline bool) {
-	l.tell("/maintained", maintenance{target, offline})
+	l.send("/maintained", maintenance{target, offline})
 }
 
-// tell sends a word to all others, aside: to look for them reads a directory.
-func (l *Link) tell(path string, word any) {
+// send sends a message to all other processes from a new goroutine, as finding them reads a directory.
+func (l *Link) send(path string, message any) {
 	select {
-	case l.words <- struct{}{}:
+	case l.inFlight <- struct{}{}:
 	default:
 		l.Counts.Dropped.Add(1)
 		return
 	}
 	go func() {
-		defer func() { <-l.words }()
-		for _, socket := range l.others() {
-			l.tellOne(socket, path, word)
+		defer func() { <-l.inFlight }()
+		for _, socket := range l.otherSockets() {
+			l.sendTo(socket, path, message)
 		}
 	}()
 }
 
-func (l *Link) tellOne(socket, path string, word any) {
-	body, err := json.Marshal(word)
+func (l *Link) sendTo(socket, path string, message any) {
+	body, err := json.Marshal(message)
 	if err == nil {
-		_, err = call(socket, http.MethodPost, path, body, nil)
+		_, err = request(socket, http.MethodPost, path, body, nil)
 	}
 	if err != nil {
 		l.log.Debug("handover", "word", path, "to", socket, "cause", err)
@@ -188,21 +191,21 @@
 	l.Counts.PassedOn.Add(1)
 }
 
-// OtherReady says whether another process takes clients.
+// OtherReady reports whether another process accepts clients.
 func (l *Link) OtherReady() bool {
-	for _, socket := range l.others() {
-		if ok, err := call(socket, http.MethodGet, "/ready", nil, nil); ok && err == nil {
+	for _, socket := range l.otherSockets() {
+		if ok, err := request(socket, http.MethodGet, "/ready", nil, nil); ok && err == nil {
 			return true
 		}
 	}
 	return false
 }
 
-// Inherited are the targets that are offline at other processes.
+// Inherited returns the targets that are offline at other processes.
 func (l *Link) Inherited() (targets []string) {
-	for _, socket := range l.others() {
+	for _, socket := range l.otherSockets() {
 		var theirs []string
-		if _, err := call(socket, http.MethodGet, "/maintained", nil, &theirs); err != nil {
+		if _, err := request(socket, http.MethodGet, "/maintained", nil, &theirs); err != nil {
 			l.log.Debug("handover", "from", socket, "cause", err)
 		}
 		targets = append(targets, theirs...)
@@ -210,9 +213,10 @@
 	return targets
 }
 
-// call sends one word and says whether the answer was yes. A socket at which nobody listens any more is removed.
-func call(socket, method, path string, body []byte, answer any) (yes bool, err error) {
-	ctx, cancel := context.WithTimeout(context.Background(), wordWithin)
+// request sends one message and reports whether the response has status 200. It removes a socket that refuses
+// connections.
+func request(socket, method, path string, body []byte, value any) (ok bool, err error) {
+	ctx, cancel := context.WithTimeout(context.Background(), messageTimeout)
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, method, "http://handover"+path, bytes.NewReader(body))
 	if err != nil {
@@ -229,8 +233,8 @@
 		return false, err
 	}
 	defer resp.Body.Close()
-	if answer != nil {
-		err = json.NewDecoder(resp.Body).Decode(answer)
+	if value != nil {
+		err = json.NewDecoder(resp.Body).Decode(value)
 	}
 	return resp.StatusCode == http.StatusOK, err
 }
--- a/internal/net/handover/handover_test.go
+++ b/internal/net/handover/handover_test.go
@@ -18,7 +18,7 @@
 	"cottonwell/internal/core"
 )
 
-const wait = 8 * time.Second
+const waitTimeout = 8 * time.Second
 
 type process struct {
 	mu         sync.Mutex
@@ -56,12 +56,12 @@
 	return targets
 }
 
-// open opens a link as if by a process of this number.
+// open opens a link as if from a process with this number.
 func open(t *testing.T, dir, name, listen, number string) (*Link, *process) {
 	p := &process{maintained: map[string]bool{}}
 	l, err := Open(dir, name, listen, p, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	require.NoError(t, err)
-	own := strings.TrimSuffix(l.path, filepath.Ext(l.path)) + number + ".sock" // all are this process
+	own := strings.TrimSuffix(l.path, filepath.Ext(l.path)) + number + ".sock" // all links have the process ID of the test
 	require.NoError(t, os.Rename(l.path, own))
 	l.path = own
 	ctx, cancel := context.WithCancel(context.Background())
@@ -71,20 +71,20 @@
 	return l, p
 }
 
-func TestWordsReachTheOtherProcess(t *testing.T) {
+func TestMessagesReachTheOtherProcess(t *testing.T) {
 	dir := t.TempDir()
-	first, old := open(t, dir, "n0", ":1", "1")
+	first, older := open(t, dir, "n0", ":1", "1")
 	require.False(t, first.OtherReady())
 	require.Empty(t, first.Inherited())
-	first.PassOn(core.TargetNews{ID: "nobody's"}) // goes nowhere
-	require.Eventually(t, func() bool { return len(first.words) == 0 }, wait, time.Millisecond)
-	old.Maintain("s-1", true)
-	old.Maintain("s-2", false)
-	old.ready = true
-
-	second, young := open(t, dir, "n0", ":1", "2")
-	_, stranger := open(t, dir, "n1", ":1", "3")
-	_, namesake := open(t, dir, "n0", ":2", "4")
+	first.PassOn(core.TargetNews{ID: "unknown"}) // there is no other process
+	require.Eventually(t, func() bool { return len(first.inFlight) == 0 }, waitTimeout, time.Millisecond)
+	older.Maintain("s-1", true)
+	older.Maintain("s-2", false)
+	older.ready = true
+
+	second, newer := open(t, dir, "n0", ":1", "2")
+	_, otherScheduler := open(t, dir, "n1", ":1", "3")
+	_, otherAddress := open(t, dir, "n0", ":2", "4")
 	require.True(t, second.OtherReady())
 	require.False(t, first.OtherReady())
 	require.Equal(t, []string{"s-1"}, second.Inherited())
@@ -93,20 +93,20 @@
 	second.Maintain("s-3", true)
 	news.PassedOn = true
 	require.Eventually(t, func() bool {
-		old.mu.Lock()
-		defer old.mu.Unlock()
-		return len(old.news) == 1 && old.maintained["s-3"]
-	}, wait, time.Millisecond)
-	require.Equal(t, []core.TargetNews{news}, old.news)
-	require.Empty(t, young.news)
-	require.Empty(t, stranger.news, "another scheduler's")
-	require.Empty(t, namesake.news, "another one's of that name")
-	require.Eventually(t, func() bool { return second.Counts.PassedOn.Load() == 2 }, wait, time.Millisecond)
+		older.mu.Lock()
+		defer older.mu.Unlock()
+		return len(older.news) == 1 && older.maintained["s-3"]
+	}, waitTimeout, time.Millisecond)
+	require.Equal(t, []core.TargetNews{news}, older.news)
+	require.Empty(t, newer.news)
+	require.Empty(t, otherScheduler.news, "another scheduler")
+	require.Empty(t, otherAddress.news, "another scheduler of the same name")
+	require.Eventually(t, func() bool { return second.Counts.PassedOn.Load() == 2 }, waitTimeout, time.Millisecond)
 }
 
-// The socket of a process that was killed is removed; one that hangs keeps nobody waiting for long, and what is told to it
-// beyond the bound is dropped.
-func TestOtherProcessThatIsDeadOrHangs(t *testing.T) {
+// The socket of a killed process is removed. A process that hangs delays no caller beyond the timeout, and
+// messages to it beyond maxMessages are dropped.
+func TestDeadOrHangingProcess(t *testing.T) {
 	dir := t.TempDir()
 	l, _ := open(t, dir, "n0", ":1", "1")
 	dead := strings.Replace(l.path, "1.sock", "2.sock", 1)
@@ -117,27 +117,27 @@
 	require.False(t, l.OtherReady())
 	require.NoFileExists(t, dead)
 
-	hangs, err := net.Listen("unix", dead)
+	hanging, err := net.Listen("unix", dead)
 	require.NoError(t, err)
-	defer hangs.Close()
-	begun := time.Now()
+	defer hanging.Close()
+	started := time.Now()
 	require.False(t, l.OtherReady())
-	require.Less(t, time.Since(begun), wait)
-	for range wordsMost + 10 {
+	require.Less(t, time.Since(started), waitTimeout)
+	for range maxMessages + 10 {
 		l.PassOn(core.TargetNews{ID: "x"})
 	}
 	require.Positive(t, l.Counts.Dropped.Load())
 	require.Zero(t, l.Counts.PassedOn.Load())
 }
 
-func TestPathsThatAreTooLong(t *testing.T) {
-	_, err := Open(filepath.Join(t.TempDir(), strings.Repeat("x", pathMost)), "n0", ":1", &process{}, slog.Default())
+func TestPathTooLong(t *testing.T) {
+	_, err := Open(filepath.Join(t.TempDir(), strings.Repeat("x", maxPath)), "n0", ":1", &process{}, slog.Default())
 	require.Error(t, err)
 }
 
-// Failure (found by the race of a test): a process that looked for others as one was just starting took its socket for that of
-// a dead one and removed it.
-func TestSocketThatIsBeingOpenedIsRemoved(t *testing.T) {
+// The fault: a process that searched for others while one was starting took the new socket for that of a dead
+// process and removed it.
+func TestSocketOfStartingProcessIsKept(t *testing.T) {
 	dir := t.TempDir()
 	l, _ := open(t, dir, "n0", ":1", "1")
 	stop, done := make(chan struct{}), make(chan struct{})
@@ -156,11 +156,11 @@
 		other, err := Open(dir, "n0", ":1", &process{}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 		require.NoError(t, err)
 		require.FileExists(t, other.path)
-		require.NoError(t, other.ln.Close())
+		require.NoError(t, other.listener.Close())
 		require.Eventually(t, func() bool {
 			_, err := os.Stat(other.path)
 			return os.IsNotExist(err)
-		}, wait, 100*time.Microsecond, "the socket of a dead one stays")
+		}, waitTimeout, 100*time.Microsecond, "the socket of a dead process stays")
 	}
 	close(stop)
 	<-done
