--- a/internal/net/control/control_test.go
+++ b/internal/net/control/control_test.go
@@ -15,21 +15,21 @@
 	"github.com/stretchr/testify/require"
 )
 
-// answerDue is when the platform wants the answer to a call.
-const answerDue = time.Second
+// responseDue is the platform's limit for the response time.
+const responseDue = time.Second
 
-// scheduler writes down what it is asked to do; it has the target s-1.
+// scheduler records the requests that it executes. Its only target is s-1.
 type scheduler struct {
-	mu    sync.Mutex
-	ready bool
-	calls []string
-	hangs chan struct{} // calls about targets wait for it, if it is there
+	mu      sync.Mutex
+	ready   bool
+	acts    []string
+	blocked chan struct{} // if set, requests about targets wait for it
 }
 
-func (s *scheduler) note(call string) {
+func (s *scheduler) record(act string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.calls = append(s.calls, call)
+	s.acts = append(s.acts, act)
 }
 
 func (s *scheduler) Ready() bool {
@@ -39,22 +39,22 @@
 }
 
 func (s *scheduler) Offline(target string) bool {
-	if s.hangs != nil {
-		<-s.hangs
+	if s.blocked != nil {
+		<-s.blocked
 	}
-	s.note("offline " + target)
+	s.record("offline " + target)
 	return target == "s-1"
 }
 
 func (s *scheduler) Online(target string) bool {
-	s.note("online " + target)
+	s.record("online " + target)
 	return target == "s-1"
 }
 
-func (s *scheduler) OutOfService() { s.note("out") }
-func (s *scheduler) InService()    { s.note("in") }
+func (s *scheduler) OutOfService() { s.record("out") }
+func (s *scheduler) InService()    { s.record("in") }
 
-func start(t *testing.T, s *scheduler) (address string) {
+func startServer(t *testing.T, s *scheduler) (address string) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -64,35 +64,36 @@
 	return ln.Addr().String()
 }
 
-// ask makes a call and returns the status of its answer, which has to come in time on a connection that then ends.
-func ask(t *testing.T, address, method, path string) int {
+// request sends a request and returns the response status. The response has to arrive within responseDue, and the
+// connection then ends.
+func request(t *testing.T, address, method, path string) int {
 	t.Helper()
-	status, took, err := try(t, address, method, path)
+	status, elapsed, err := roundTrip(t, address, method, path)
 	require.NoError(t, err)
-	require.Less(t, took, answerDue)
+	require.Less(t, elapsed, responseDue)
 	return status
 }
 
-// try makes a call and returns the status of its answer and how long it took.
-func try(t *testing.T, address, method, path string) (status int, took time.Duration, err error) {
+// roundTrip sends a request and returns the response status and the elapsed time.
+func roundTrip(t *testing.T, address, method, path string) (status int, elapsed time.Duration, err error) {
 	t.Helper()
-	begun := time.Now()
+	started := time.Now()
 	c, err := net.Dial("tcp", address)
 	require.NoError(t, err)
 	defer c.Close()
-	require.NoError(t, c.SetDeadline(begun.Add(8*time.Second)))
+	require.NoError(t, c.SetDeadline(started.Add(8*time.Second)))
 	_, err = fmt.Fprintf(c, "%s %s HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n", method, path)
 	require.NoError(t, err)
-	answer, err := io.ReadAll(c)
+	response, err := io.ReadAll(c)
 	if err == nil {
-		_, err = fmt.Sscanf(string(answer), "HTTP/1.1 %d", &status)
+		_, err = fmt.Sscanf(string(response), "HTTP/1.1 %d", &status)
 	}
-	return status, time.Since(begun), err
+	return status, time.Since(started), err
 }
 
-func TestCalls(t *testing.T) {
+func TestRequests(t *testing.T) {
 	s := &scheduler{}
-	at := start(t, s)
+	at := startServer(t, s)
 	for _, c := range []struct {
 		method, path string
 		want         int
@@ -110,47 +111,47 @@
 		{"POST", "/control/ready", http.StatusMethodNotAllowed},
 		{"GET", "/nothing", http.StatusNotFound},
 	} {
-		require.Equal(t, c.want, ask(t, at, c.method, c.path), "%s %s", c.method, c.path)
+		require.Equal(t, c.want, request(t, at, c.method, c.path), "%s %s", c.method, c.path)
 	}
 	s.mu.Lock()
 	s.ready = true
 	s.mu.Unlock()
-	require.Equal(t, http.StatusOK, ask(t, at, "GET", "/control/ready"))
-	require.Equal(t, []string{"offline s-1", "online s-1", "online s-1", "offline s-9", "online s-9", "out", "in"}, s.calls)
+	require.Equal(t, http.StatusOK, request(t, at, "GET", "/control/ready"))
+	require.Equal(t, []string{"offline s-1", "online s-1", "online s-1", "offline s-9", "online s-9", "out", "in"}, s.acts)
 }
 
-// Callers that send nothing, half a call or too much keep nobody else's answer waiting, however many they are.
-func TestSilentCallersKeepNobodyWaiting(t *testing.T) {
+// Clients that send nothing, half a request or too much delay the response to no other, however many they are.
+func TestSilentClientsDelayNoOther(t *testing.T) {
 	s := &scheduler{ready: true}
-	at := start(t, s)
-	for i := range 2 * callersMost / 3 {
+	at := startServer(t, s)
+	for i := range 2 * maxConns / 3 {
 		c, err := net.Dial("tcp", at)
 		require.NoError(t, err)
 		defer c.Close()
-		_, err = io.WriteString(c, []string{"", "GET /control/re", "POST /control/out-of-service HTTP/1.1\r\nHost: x\r\n", "GET /" + strings.Repeat("x", 2*headMost)}[i%4])
+		_, err = io.WriteString(c, []string{"", "GET /control/re", "POST /control/out-of-service HTTP/1.1\r\nHost: x\r\n", "GET /" + strings.Repeat("x", 2*maxHeader)}[i%4])
 		require.NoError(t, err)
 	}
 	for range 20 {
-		require.Equal(t, http.StatusOK, ask(t, at, "GET", "/control/ready"))
+		require.Equal(t, http.StatusOK, request(t, at, "GET", "/control/ready"))
 	}
-	for range 2 * callersMost { // more than there is room for: these end soon, and then there is
+	for range 2 * maxConns { // more than maxConns: these time out soon, and then there are free slots
 		c, err := net.Dial("tcp", at)
 		require.NoError(t, err)
 		defer c.Close()
 	}
 	require.Eventually(t, func() bool {
-		status, took, err := try(t, at, "GET", "/control/ready")
-		return err == nil && status == http.StatusOK && took < answerDue
+		status, took, err := roundTrip(t, at, "GET", "/control/ready")
+		return err == nil && status == http.StatusOK && took < responseDue
 	}, 10*time.Second, time.Millisecond)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	require.Empty(t, s.calls, "a half call does nothing")
+	require.Empty(t, s.acts, "half a request has no effect")
 }
 
-// A scheduler that does not answer in time is answered for: no.
-func TestNoAnswerInTimeIsNo(t *testing.T) {
-	s := &scheduler{hangs: make(chan struct{})}
-	at := start(t, s)
-	require.Equal(t, http.StatusServiceUnavailable, ask(t, at, "POST", "/control/shop-workers/s-1/offline"))
-	close(s.hangs)
+// If the scheduler does not respond before the timeout, the response is no.
+func TestSchedulerTimeoutIsNo(t *testing.T) {
+	s := &scheduler{blocked: make(chan struct{})}
+	at := startServer(t, s)
+	require.Equal(t, http.StatusServiceUnavailable, request(t, at, "POST", "/control/shop-workers/s-1/offline"))
+	close(s.blocked)
 }
--- a/internal/net/control/limited.go
+++ b/internal/net/control/limited.go
@@ -5,44 +5,44 @@
 	"sync"
 )
 
-// limited is a listener that takes a connection only while fewer than so many that it has taken are open.
-type limited struct {
+// limitedListener is a listener that accepts a connection only while fewer than a fixed number of them are open.
+type limitedListener struct {
 	net.Listener
-	places chan struct{}
+	slots  chan struct{}
 	closed chan struct{}
 	once   sync.Once
 }
 
-func newLimited(ln net.Listener, most int) *limited {
-	return &limited{Listener: ln, places: make(chan struct{}, most), closed: make(chan struct{})}
+func newLimitedListener(ln net.Listener, maxOpen int) *limitedListener {
+	return &limitedListener{Listener: ln, slots: make(chan struct{}, maxOpen), closed: make(chan struct{})}
 }
 
-func (l *limited) Accept() (net.Conn, error) {
+func (l *limitedListener) Accept() (net.Conn, error) {
 	select {
-	case l.places <- struct{}{}:
+	case l.slots <- struct{}{}:
 	case <-l.closed:
 		return nil, net.ErrClosed
 	}
 	c, err := l.Listener.Accept()
 	if err != nil {
-		<-l.places
+		<-l.slots
 		return nil, err
 	}
-	return &placed{Conn: c, give: sync.OnceFunc(func() { <-l.places })}, nil
+	return &limitedConn{Conn: c, release: sync.OnceFunc(func() { <-l.slots })}, nil
 }
 
-func (l *limited) Close() error {
+func (l *limitedListener) Close() error {
 	l.once.Do(func() { close(l.closed) })
 	return l.Listener.Close()
 }
 
-// placed gives its place back as it closes.
-type placed struct {
+// limitedConn releases its slot when it is closed.
+type limitedConn struct {
 	net.Conn
-	give func()
+	release func()
 }
 
-func (p *placed) Close() error {
-	defer p.give()
+func (p *limitedConn) Close() error {
+	defer p.release()
 	return p.Conn.Close()
 }
