--- a/internal/net/peers/peers.go
+++ b/internal/net/peers/peers.go
@@ -1,5 +1,6 @@
-// Package peers carries the short messages by which schedulers of one tier tell one another
-// what they have out. They are datagrams: late, or lost, and nobody waits for them.
+// Package peers carries datagrams between the schedulers of one fleet. It is given their addresses, sends short
+// messages to some or all of them, and passes on what it receives together with the sender's number. Datagrams may
+// be late or lost: the package neither repeats nor acknowledges them, and does not look into them.
 package peers
 
 import (
@@ -14,54 +15,55 @@
 	"cottonwell/internal/net/shared"
 )
 
-// MaxSize is the longest datagram that the platform allows.
+// MaxSize is the longest datagram that the platform allows, in bytes.
 const MaxSize = 256
 
-// Config is what the configuration says of the tier.
+// Config is the peer part of the configuration.
 type Config struct {
-	Listen string   // where datagrams arrive; they are sent from there, too
-	Peers  []string // an address per scheduler, this one included, in the order of their numbers
-	All    string   // the address that reaches every one of them
-	Shared bool     // another process of this scheduler may listen there, too
+	Listen string   // local address for receiving and sending
+	Peers  []string // the address of each scheduler, this one included, in the order of their numbers
+	All    string   // the address that reaches all schedulers
+	Shared bool     // another process of this scheduler may listen on the same address
 }
 
-// Link sends to the other schedulers and hears them.
+// Link sends to the other schedulers and receives from them.
 type Link struct {
-	conn *net.UDPConn
-	log  *slog.Logger
-	all  netip.AddrPort
-	who  map[netip.AddrPort]int
-	each []netip.AddrPort // by number
+	conn      *net.UDPConn
+	log       *slog.Logger
+	broadcast netip.AddrPort
+	numbers   map[netip.AddrPort]int
+	addresses []netip.AddrPort // by number
 
 	Sent, Heard, Unreadable, Failed atomic.Int64
 }
 
-// Open binds the address. Without one, or without anybody to send to, it returns nil.
+// Open binds the local address. It returns nil if the configuration has no local address or none for all
+// schedulers.
 func Open(cfg Config, log *slog.Logger) (*Link, error) {
 	if cfg.Listen == "" || cfg.All == "" {
 		return nil, nil
 	}
-	l := &Link{log: log, who: map[netip.AddrPort]int{}}
+	l := &Link{log: log, numbers: map[netip.AddrPort]int{}}
 	var err error
-	if l.all, err = netip.ParseAddrPort(cfg.All); err != nil {
+	if l.broadcast, err = netip.ParseAddrPort(cfg.All); err != nil {
 		return nil, fmt.Errorf("peers_all: %w", err)
 	}
 	for i, s := range cfg.Peers {
-		a, err := netip.ParseAddrPort(s)
+		address, err := netip.ParseAddrPort(s)
 		if err != nil {
 			return nil, fmt.Errorf("peers: %w", err)
 		}
-		l.who[a] = i
-		l.each = append(l.each, a)
+		l.numbers[address] = i
+		l.addresses = append(l.addresses, address)
 	}
-	at, err := netip.ParseAddrPort(cfg.Listen)
+	local, err := netip.ParseAddrPort(cfg.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("peer_listen: %w", err)
 	}
 	if cfg.Shared {
 		l.conn, err = shared.ListenPacket(cfg.Listen)
 	} else {
-		l.conn, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(at))
+		l.conn, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(local))
 	}
 	if err != nil {
 		return nil, fmt.Errorf("peer_listen: %w", err)
@@ -69,23 +71,23 @@
 	return l, nil
 }
 
-// Addr is the address that is bound.
+// Addr returns the bound address.
 func (l *Link) Addr() net.Addr { return l.conn.LocalAddr() }
 
-// Tell sends raw to the schedulers of these numbers, or to every other one where to is nil. What
-// cannot be sent is lost, like any other; a later message says all anew.
+// Tell sends raw to the schedulers with these numbers, or to all others if to is nil. A failed send counts as a
+// lost datagram: a later message repeats its content.
 func (l *Link) Tell(to []int, raw string) {
 	if len(raw) > MaxSize {
 		l.Failed.Add(1)
 		return
 	}
 	if to == nil {
-		l.send(raw, l.all)
+		l.send(raw, l.broadcast)
 		return
 	}
 	for _, n := range to {
-		if n >= 0 && n < len(l.each) {
-			l.send(raw, l.each[n])
+		if n >= 0 && n < len(l.addresses) {
+			l.send(raw, l.addresses[n])
 		}
 	}
 }
@@ -98,9 +100,9 @@
 	l.Sent.Add(1)
 }
 
-// Run passes on what the others say until ctx ends, then closes the socket. What comes from
-// an address that is no scheduler's is counted and passed over.
-func (l *Link) Run(ctx context.Context, hear func(who int, raw string)) {
+// Run passes on the received datagrams until ctx ends, then closes the socket. Datagrams from an unknown address
+// are counted and ignored.
+func (l *Link) Run(ctx context.Context, receive func(sender int, raw string)) {
 	defer context.AfterFunc(ctx, func() { l.conn.Close() })()
 	buf := make([]byte, MaxSize+1)
 	for {
@@ -112,12 +114,12 @@
 			l.Failed.Add(1)
 			continue
 		}
-		who, ok := l.who[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
+		sender, ok := l.numbers[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
 		if !ok || n > MaxSize {
 			l.Unreadable.Add(1)
 			continue
 		}
 		l.Heard.Add(1)
-		hear(who, string(buf[:n]))
+		receive(sender, string(buf[:n]))
 	}
 }
--- a/internal/net/peers/peers_test.go
+++ b/internal/net/peers/peers_test.go
@@ -12,9 +12,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A message reaches the module under its sender's number, and one of a stranger does not: what
-// it said of load would be believed.
-func TestSchedulersHearOneAnotherAndNobodyElse(t *testing.T) {
+// A datagram is passed on with its sender's number. One from an unknown sender is not, as its load figures would
+// be believed.
+func TestOnlyPeersAreReceived(t *testing.T) {
 	bind := func() *net.UDPConn {
 		c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		require.NoError(t, err)
@@ -26,33 +26,33 @@
 		All: peer.LocalAddr().String()}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
-	done, heard := make(chan struct{}), make(chan string, 9)
+	done, received := make(chan struct{}), make(chan string, 9)
 	go func() {
 		defer close(done)
-		l.Run(ctx, func(who int, raw string) { heard <- string(rune('0'+who)) + string(raw) })
+		l.Run(ctx, func(who int, raw string) { received <- string(rune('0'+who)) + string(raw) })
 	}()
 	defer func() { cancel(); <-done }()
 
-	_, err = stranger.WriteTo([]byte("lies"), l.Addr())
+	_, err = stranger.WriteTo([]byte("forged"), l.Addr())
 	require.NoError(t, err)
 	require.Eventually(t, func() bool { return l.Unreadable.Load() == 1 }, 10*time.Second, time.Millisecond)
-	_, err = peer.WriteTo([]byte("word"), l.Addr())
+	_, err = peer.WriteTo([]byte("data"), l.Addr())
 	require.NoError(t, err)
-	require.Equal(t, "1word", <-heard)
+	require.Equal(t, "1data", <-received)
 
 	l.Tell(nil, strings.Repeat("x", MaxSize+1))
-	l.Tell([]int{-1, 9}, "nobody's") // numbers that nobody has
-	l.Tell([]int{}, "nobody's")
+	l.Tell([]int{-1, 9}, "unknown") // numbers that no scheduler has
+	l.Tell([]int{}, "unknown")
 	l.Tell([]int{1}, "mine")
 	buf := make([]byte, 999)
 	require.NoError(t, peer.SetReadDeadline(time.Now().Add(10*time.Second)))
 	n, from, err := peer.ReadFrom(buf)
 	require.NoError(t, err)
-	require.Equal(t, "mine", string(buf[:n]), "the long one would void the platform's trust")
+	require.Equal(t, "mine", string(buf[:n]), "the platform does not allow the longer datagram")
 	require.Equal(t, l.Addr().String(), from.String())
 }
 
-func TestNoTierNoLink(t *testing.T) {
+func TestNoPeersNoLink(t *testing.T) {
 	l, err := Open(Config{Listen: "127.0.0.1:0"}, nil)
 	require.NoError(t, err)
 	require.Nil(t, l)
@@ -60,9 +60,9 @@
 	require.ErrorContains(t, err, "peers_all")
 }
 
-// Lists of peers as they should not be: without this scheduler, with one address twice, longer than the
-// fleet, empty, or with what is no address. None stops a scheduler but the last, which is named.
-func TestOddListsOfPeers(t *testing.T) {
+// Unusual peer lists: without this scheduler, with an address twice, longer than the fleet, empty, or with an
+// invalid address. Only the last stops a scheduler, and the error names the setting.
+func TestUnusualPeerLists(t *testing.T) {
 	quiet := slog.New(slog.NewTextHandler(io.Discard, nil))
 	c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	require.NoError(t, err)
@@ -76,20 +76,20 @@
 		l, err := Open(Config{Listen: "127.0.0.1:0", Peers: peers, All: at}, quiet)
 		require.NoError(t, err, name)
 		ctx, cancel := context.WithCancel(context.Background())
-		heard, done := make(chan int, 1), make(chan struct{})
+		received, done := make(chan int, 1), make(chan struct{})
 		go func() {
 			defer close(done)
-			l.Run(ctx, func(who int, _ string) { heard <- who })
+			l.Run(ctx, func(who int, _ string) { received <- who })
 		}()
-		_, err = c.WriteTo([]byte("word"), l.Addr())
+		_, err = c.WriteTo([]byte("data"), l.Addr())
 		require.NoError(t, err)
 		if len(peers) > 0 {
-			who := <-heard
-			require.Equal(t, len(peers)-1, who, "%s: the last number that has the address", name)
+			who := <-received
+			require.Equal(t, len(peers)-1, who, "%s: the last number with the address", name)
 		} else {
 			require.Eventually(t, func() bool { return l.Unreadable.Load() == 1 }, 10*time.Second, time.Millisecond, name)
 		}
-		l.Tell([]int{0, len(peers), 1 << 30}, "nobody's, where there are none")
+		l.Tell([]int{0, len(peers), 1 << 30}, "unknown")
 		cancel()
 		<-done
 	}
