--- a/internal/net/shared/shared.go
+++ b/internal/net/shared/shared.go
@@ -1,4 +1,6 @@
-// Package shared listens at addresses that another process of the same scheduler may listen at, too.
+// Package shared opens listeners on addresses on which another process of the same scheduler may listen, too. It
+// is given an address and returns a socket with SO_REUSEPORT set. It helps to close such a listener with few lost
+// connections, and does not hand over open connections.
 package shared
 
 import (
@@ -11,35 +13,35 @@
 	"golang.org/x/sys/unix"
 )
 
-// quiet is for how long nothing has to come to a listener before it is taken for empty.
-const quiet = 20 * time.Millisecond
+// quietTime is the time without a new connection after which a listener's queue counts as empty.
+const quietTime = 20 * time.Millisecond
 
-var config = net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
+var listenConfig = net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 	var set error
 	err := raw.Control(func(fd uintptr) { set = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) })
 	return errors.Join(err, set)
 }}
 
-// Listen listens at a TCP address.
+// Listen listens on a TCP address.
 func Listen(address string) (net.Listener, error) {
-	return config.Listen(context.Background(), "tcp", address)
+	return listenConfig.Listen(context.Background(), "tcp", address)
 }
 
-// ListenPacket listens at a UDP address.
+// ListenPacket listens on a UDP address.
 func ListenPacket(address string) (*net.UDPConn, error) {
-	c, err := config.ListenPacket(context.Background(), "udp", address)
+	c, err := listenConfig.ListenPacket(context.Background(), "udp", address)
 	if err != nil {
 		return nil, err
 	}
 	return c.(*net.UDPConn), nil
 }
 
-// Stop has a listener's Accept fail with a timeout once nothing has come for a moment; then it may be closed with hardly any
-// connection reset that waits to be accepted.
+// Stop makes a listener's Accept fail with a timeout once no connection has arrived for quietTime. Closing the
+// listener then resets hardly any connection that waits to be accepted.
 func Stop(ln net.Listener) error {
 	tcp, ok := ln.(*net.TCPListener)
 	if !ok {
 		return ln.Close()
 	}
-	return tcp.SetDeadline(time.Now().Add(quiet))
+	return tcp.SetDeadline(time.Now().Add(quietTime))
 }
--- a/internal/net/shared/shared_test.go
+++ b/internal/net/shared/shared_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Two listeners share an address; once one of them has stopped, each connection comes to the other.
+// Two listeners share an address. Once one of them has stopped, each connection goes to the other.
 func TestListenersShareAnAddress(t *testing.T) {
 	first, err := Listen("127.0.0.1:0")
 	require.NoError(t, err)
@@ -18,8 +18,8 @@
 	second, err := Listen(address)
 	require.NoError(t, err)
 	defer second.Close()
-	waiting := 0
-	for range 20 { // some wait to be accepted by the one that stops
+	accepted := 0
+	for range 20 { // some wait to be accepted by the listener that stops
 		c, err := net.Dial("tcp", address)
 		require.NoError(t, err)
 		defer c.Close()
@@ -31,7 +31,7 @@
 			require.ErrorIs(t, err, os.ErrDeadlineExceeded)
 			break
 		}
-		waiting++
+		accepted++
 		c.Close()
 	}
 	require.NoError(t, first.Close())
@@ -40,7 +40,7 @@
 		require.NoError(t, err)
 		defer c.Close()
 	}
-	for range 30 - waiting {
+	for range 30 - accepted {
 		require.NoError(t, second.(*net.TCPListener).SetDeadline(time.Now().Add(8*time.Second)))
 		c, err := second.Accept()
 		require.NoError(t, err)
