--- a/internal/net/duties/duties.go
+++ b/internal/net/duties/duties.go
@@ -116,8 +116,8 @@
 }
 
 // Probed reports the result of a probe of a target, whoever requested it. It does not block.
-func (h *Host) Probed(target string, answered bool) {
-	h.post(fleet.Event{Kind: fleet.Probed, Target: target, Answered: answered})
+func (h *Host) Probed(target string, responded bool) {
+	h.post(fleet.Event{Kind: fleet.Probed, Target: target, Answered: responded})
 }
 
 // Listed reports all known targets with their zones. It does not block. A dropped list is repeated with the next
--- a/internal/net/duties/duties_test.go
+++ b/internal/net/duties/duties_test.go
@@ -148,7 +148,7 @@
 	require.Contains(t, group.logs[first].String(), `msg="duty lost" duty=examiner`)
 	require.Contains(t, group.logs[second].String(), `msg="duty gained" duty=examiner`)
 
-	// A host that was paused does not hold the duty when asked, though its machine has not seen the time pass.
+	// A host that was paused does not hold the duty, though its machine has not seen the time pass.
 	group.clock.Advance(10_000)
 	_, ok = group.hosts[second].Holds("examiner")
 	require.False(t, ok)
--- a/internal/net/duties/trust.go
+++ b/internal/net/duties/trust.go
@@ -2,8 +2,8 @@
 
 package duties
 
-// These constants are true only in builds that are faulty on purpose, which test that the rig's checker finds the
-// fault.
+// These constants are true only in builds that are faulty on purpose. Such a build tests that the checker of the
+// fault-injection rig finds the fault.
 const (
 	leasesNeverExpire = false // a holder keeps believing its last state
 	fencingDisabled   = false // acts are accepted under any number
--- a/internal/net/httpio/outcomes.go
+++ b/internal/net/httpio/outcomes.go
@@ -17,12 +17,12 @@
 	JobLost      Exchange = "lost"
 	Status500    Exchange = "500" // and every response without a more specific meaning
 	Rejected     Exchange = "503 or 504 with X-Turned-Away: 1"
-	NotConnected Exchange = "refused, or never up"
+	NotConnected Exchange = "refused, or not established"
 	BrokenBefore Exchange = "broken before the request's last byte was written"
-	BrokenAfter  Exchange = "broken after that, before the 202"
-	NoResponse   Exchange = "nothing"
-	GivenUp      Exchange = "given up by us"
-	NotBegun     Exchange = "never begun by us"
+	BrokenAfter  Exchange = "broken between the request's last byte and the 202"
+	NoResponse   Exchange = "no response"
+	GivenUp      Exchange = "cancelled by the scheduler"
+	NotBegun     Exchange = "never started by the scheduler"
 )
 
 // outcomeRow is a row of the protocol's table.
--- a/internal/net/listener/crossing_test.go
+++ b/internal/net/listener/crossing_test.go
@@ -76,9 +76,9 @@
 // yet.
 func TestRequestThatCrossesTheEndOfItsConnection(t *testing.T) {
 	for name, c := range map[string]struct {
-		asked bool // the connection has carried a request
-		end   func(l *Listener, dial func() net.Conn)
-		want  string
+		used bool // the connection has carried a request
+		end  func(l *Listener, dial func() net.Conn)
+		want string
 	}{
 		"idle, during graceful shutdown":  {true, func(l *Listener, _ func() net.Conn) { l.Wind() }, lastResponse},
 		"idle, as its slot is evicted":    {true, func(_ *Listener, dial func() net.Conn) { dial() }, noSlotResponse},
@@ -97,7 +97,7 @@
 			dial := func() net.Conn { return dialed(t, ln) }
 
 			client := dial()
-			if c.asked {
+			if c.used {
 				require.NoError(t, roundTrip(client, upRequest, readyResponse))
 				require.Eventually(t, func() bool { return l.idleCount() == 1 }, 10*time.Second, time.Millisecond)
 			} else {
--- a/internal/net/listener/listener_test.go
+++ b/internal/net/listener/listener_test.go
@@ -53,27 +53,27 @@
 func TestFullHouseTakesThePlaceThatIsWorthLeast(t *testing.T) {
 	clk := clock.NewManual(1e6)
 	l, dial := startListener(t, clk, 2)
-	asks := func(c net.Conn) { require.NoError(t, roundTrip(c, upRequest, readyResponse)) }
-	gone := func(c net.Conn) {
+	sendRequest := func(c net.Conn) { require.NoError(t, roundTrip(c, upRequest, readyResponse)) }
+	requireClosed := func(c net.Conn) {
 		_, err := c.Read(make([]byte, 1))
 		require.ErrorIs(t, err, io.EOF)
 	}
 	silent := dial()
 	require.Eventually(t, func() bool { return l.slotCount() == 1 }, 10*time.Second, time.Millisecond)
 	clk.Advance(1)
-	asked := dial()
-	asks(asked)
+	served := dial()
+	sendRequest(served)
 	require.Eventually(t, func() bool { return l.idleCount() == 1 }, 10*time.Second, time.Millisecond)
 	clk.Advance(1)
 	third := dial()
-	gone(asked)
+	requireClosed(served)
 	fourth := dial()
-	gone(silent)
-	asks(third)
-	asks(fourth)
+	requireClosed(silent)
+	sendRequest(third)
+	sendRequest(fourth)
 	require.EqualValues(t, 2, l.Counts.Evicted.Load())
 	require.Zero(t, l.Counts.TurnedOff.Load())
-	require.NoError(t, asked.Close())
+	require.NoError(t, served.Close())
 	require.NoError(t, silent.Close())
 	l.requireCloses(t, map[httpio.CloseReason]int{closedEvicted: 2})
 }
--- a/internal/net/target/pool.go
+++ b/internal/net/target/pool.go
@@ -46,8 +46,8 @@
 // neverIdle is the idle time of a connection that has not carried a request yet.
 const neverIdle = -1.0
 
-// acquire returns a connection to the target and its idle time in milliseconds. It prefers an idle connection that
-// is at least minIdleTime old and still usable, and dials otherwise.
+// acquire returns a connection to the target and its idle time in milliseconds. It prefers a usable connection that
+// has been idle for at least minIdleTime, and dials otherwise.
 func (t *Transport) acquire(target *targetState, address string) (conn *httpio.Conn, idleTime float64, err error) {
 	t.closeIdle(target, t.idleStats.limit(t.IdleFor*retireShare), closedIdle)
 	for {
@@ -89,12 +89,12 @@
 
 // finishResponse reads the rest of a response and returns its connection to the pool.
 func (t *Transport) finishResponse(target *targetState, conn *httpio.Conn, resp *http.Response) {
-	rest, err := conn.ReadBody(resp, t.Clock.Deadline(bodyTimeout))
+	body, err := conn.ReadBody(resp, t.Clock.Deadline(bodyTimeout))
 	if err != nil {
 		t.discard(conn, closedBodyIncomplete)
 		return
 	}
-	rest.Release()
+	body.Release()
 	t.release(target, conn, resp.Close)
 }
 
--- a/internal/net/target/target.go
+++ b/internal/net/target/target.go
@@ -165,10 +165,10 @@
 type stage int
 
 const (
-	connecting stage = iota // no byte is sent yet
+	connecting stage = iota // waiting for a connection
 	writing                 // the target may have received the last byte
 	finished                // the response was received, or the connection broke
-	abandoned               // cancelled: nothing more is sent or reported for it
+	abandoned               // cancelled: nothing more is sent or received
 )
 
 // attempt is a core.Attempt until its 202.
@@ -177,7 +177,7 @@
 	mu         sync.Mutex
 	stage      stage
 	conn       *httpio.Conn
-	clientLeft bool // its client has left: nothing may be sent that is not on its way
+	clientLeft bool // its client has left: the attempt may not start any more
 
 	readDone     chan struct{}   // closed once no more is read for the attempt
 	lateExchange httpio.Exchange // the exchange after abandonment; valid once readDone is closed
