--- a/internal/decide/bench_test.go
+++ b/internal/decide/bench_test.go
@@ -10,18 +10,18 @@
 	"cottonwell/internal/room"
 )
 
-// BenchmarkRequest is the deciding cost of one request from its coming to its end, with the
-// planner and without, at the same load: the share of the planner is the ratio of the two.
+// BenchmarkRequest measures the cost of the decisions for one request from its arrival to its end,
+// with and without the planner at the same load. The planner's share follows from the ratio.
 func BenchmarkRequest(b *testing.B) {
 	for _, targets := range []int{12, 200} {
-		for _, on := range []bool{false, true} {
-			b.Run(fmt.Sprintf("targets=%d/room=%v", targets, on), func(b *testing.B) {
-				var plan *room.Config
-				if on {
+		for _, enabled := range []bool{false, true} {
+			b.Run(fmt.Sprintf("targets=%d/room=%v", targets, enabled), func(b *testing.B) {
+				var plannerConfig *room.Config
+				if enabled {
 					c := room.Default()
-					plan = &c
+					plannerConfig = &c
 				}
-				d, err := New(settings(0, 2), 1, plan)
+				d, err := New(settings(0, 2), 1, plannerConfig)
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -30,23 +30,23 @@
 					ids = append(ids, fmt.Sprintf("s-%08x", i*2654435761))
 				}
 				now, acts := time.Hour, []balance.Action(nil)
-				type out struct {
+				type job struct {
 					id uint64
 					at string
 				}
-				var outs []out
+				var jobs []job
 				var waiting []uint64
-				step := func(ev balance.Event) {
+				handle := func(ev balance.Event) {
 					acts = d.Step(now, &ev, acts[:0])
 					for i := range acts {
 						if acts[i].Kind == balance.Send {
-							outs = append(outs, out{acts[i].Request, acts[i].Worker})
+							jobs = append(jobs, job{acts[i].Request, acts[i].Worker})
 						}
 					}
 				}
-				step(balance.Event{Kind: balance.Listed, List: balance.FromDisk, Members: members(ids...)})
+				handle(balance.Event{Kind: balance.Listed, List: balance.FromDisk, Members: members(ids...)})
 				for _, id := range ids {
-					step(balance.Event{Kind: balance.Probed, Worker: id, Report: balance.Report{Present: true, Free: 4}})
+					handle(balance.Event{Kind: balance.Probed, Worker: id, Report: balance.Report{Present: true, Free: 4}})
 				}
 				rng := rand.New(rand.NewPCG(1, 1))
 				b.ReportAllocs()
@@ -57,21 +57,21 @@
 					if n%20 == 0 {
 						slots = 4
 					}
-					step(balance.Event{Kind: balance.Arrived, Request: id, Class: "view", Tenant: "t", Budget: 5 * time.Second, Slots: slots})
-					if k := len(outs); k == 0 || outs[k-1].id != id {
+					handle(balance.Event{Kind: balance.Arrived, Request: id, Class: "view", Tenant: "t", Budget: 5 * time.Second, Slots: slots})
+					if k := len(jobs); k == 0 || jobs[k-1].id != id {
 						waiting = append(waiting, id)
 					}
-					if len(waiting) > 20 { // their clients do not wait for ever
-						step(balance.Event{Kind: balance.Departed, Request: waiting[0]})
+					if len(waiting) > 20 { // the client of the oldest one leaves
+						handle(balance.Event{Kind: balance.Departed, Request: waiting[0]})
 						waiting = waiting[1:]
 					}
-					for len(outs) > 2*targets {
-						i := rng.IntN(len(outs))
-						o := outs[i]
-						outs[i] = outs[len(outs)-1]
-						outs = outs[:len(outs)-1]
-						step(balance.Event{Kind: balance.Noted, Request: o.id, Worker: o.at, Started: true})
-						step(balance.Event{Kind: balance.Ended, Request: o.id, Worker: o.at, Result: balance.OK, Final: true,
+					for len(jobs) > 2*targets {
+						i := rng.IntN(len(jobs))
+						done := jobs[i]
+						jobs[i] = jobs[len(jobs)-1]
+						jobs = jobs[:len(jobs)-1]
+						handle(balance.Event{Kind: balance.Noted, Request: done.id, Worker: done.at, Started: true})
+						handle(balance.Event{Kind: balance.Ended, Request: done.id, Worker: done.at, Result: balance.OK, Final: true,
 							Report: balance.Report{Present: true, InFlight: 3, Free: 1}})
 					}
 				}
--- a/internal/decide/decide.go
+++ b/internal/decide/decide.go
@@ -1,7 +1,13 @@
-// Package decide puts the decision module together with what is planned and told beside it:
-// the planner of held room, and the datagrams among schedulers. Like the module it is a state
-// machine without I/O, and it takes the module's place for whoever hosts one: the core on
-// sockets, and the adapter on the simulator's wire.
+// Package decide combines the decision module (package balance) with the reservation planner for
+// large jobs (package room) and the load messages between schedulers (package gossip).
+//
+// It has the interface of the decision module and replaces it for a host: the core, which works on
+// sockets, and the adapter to the simulator's protocol. The host passes in the module's events,
+// including the raw datagrams of other schedulers. It gets back the module's actions, including
+// the datagrams to send. The planner's decisions reach the module as events.
+//
+// The package is a state machine without I/O. It opens no sockets, reads no clock and chooses no
+// targets itself.
 package decide
 
 import (
@@ -13,84 +19,85 @@
 )
 
 const (
-	tellEvery  = 10 * time.Millisecond   // schedulers tell one another what they have out,
-	wholeEvery = 600 * time.Millisecond  // all of it is said now and then to those whom it concerns,
-	holdEvery  = 40 * time.Millisecond   // and nothing but all while room is held,
-	toldFor    = 1400 * time.Millisecond // and some of it may be lost
-	owedWholes = 2                       // whole words for one whom nothing concerns any more
+	changesInterval     = 10 * time.Millisecond   // between checks for changed loads to send
+	fullStateInterval   = 600 * time.Millisecond  // between full states, sent to the schedulers concerned
+	reservationInterval = 40 * time.Millisecond   // between full states while slots are reserved; no changes are sent then
+	peerTimeout         = 1400 * time.Millisecond // without a message; longer than two full state intervals, as datagrams are lost
+	trailingFullStates  = 2                       // full states sent to a scheduler after the last load that concerns it
 )
 
-// Timers of this package; the module's own are below.
+// Timer numbers of this package. The module's own numbers are lower.
 const (
-	tellTimer = uint64(1)<<61 + iota
-	roomTimer
+	gossipTimer = uint64(1)<<61 + iota
+	plannerTimer
 )
 
-// Decider decides for one scheduler.
+// Decider decides for one scheduler: it drives the decision module and the reservation planner and
+// exchanges load messages with the other schedulers.
 type Decider struct {
-	s       balance.Settings
-	module  *balance.Balancer
-	names   map[string]gossip.Name   // of the listed targets
-	short   map[gossip.Name][]string // and these by what datagrams call them
-	long    map[gossip.Name][]string
-	toldAt  []time.Duration      // when each other scheduler last spoke; 0: silent
-	heard   []map[string]float64 // what each of them has out
-	at      map[string][]int     // who of them has work at a target
-	owed    []int                // whole words that each of them is still to get
-	said    []gossip.Load        // what this one has told of its own
-	wholeAt time.Duration        // when it last told all; 0: never
-	part    []gossip.Load        // changes since
-	in      gossip.Message
-	out     gossip.Message
-	raw     []byte
-	held    bool          // the last whole datagram told of held room
-	ev      balance.Event // the module's event in hand, or one made here
+	settings         balance.Settings
+	module           *balance.Balancer
+	names            map[string]gossip.Name   // hashed name of each listed target, by id
+	byShortName      map[gossip.Name][]string // ids of listed targets by short name
+	byName           map[gossip.Name][]string // ids of listed targets by full name
+	receivedAt       []time.Duration          // time of the last message from each scheduler; 0: silent
+	peerLoads        []map[string]float64     // slots that each other scheduler uses, by target
+	peersAt          map[string][]int         // other schedulers that use slots, by target
+	fullStatesDue    []int                    // full states still to be sent to each scheduler
+	sentLoads        []gossip.Load            // own loads at the last message
+	fullStateAt      time.Duration            // when the last full state was sent; 0: never
+	changes          []gossip.Load            // own loads that changed since the last message
+	received         gossip.Message           // the message being processed
+	outgoing         gossip.Message           // the own full state
+	encoded          []byte                   // buffer for a datagram
+	sentReservations bool                     // the last full state contained reservations
+	event            balance.Event            // buffer for events made by this package
 
-	Unreadable int // datagrams that could not be read
+	Unreadable int // datagrams that could not be parsed, or had an invalid sender
 
-	room *room.Planner // nil while it is off
-	roomers
+	planner *room.Planner // nil if disabled
+	plannerState
 }
 
-// New returns a Decider, or says which of the settings is impossible. Without a plan no room
-// is held, here; what others hold is respected all the same.
-func New(s balance.Settings, seed uint64, plan *room.Config) (*Decider, error) {
+// New returns a Decider, or an error that names the invalid setting. If plannerConfig is nil, this
+// scheduler makes no reservations. It respects the reservations of others all the same.
+func New(s balance.Settings, seed uint64, plannerConfig *room.Config) (*Decider, error) {
 	module, err := balance.New(s, seed)
 	if err != nil {
 		return nil, err
 	}
-	d := &Decider{s: s, module: module, names: map[string]gossip.Name{}, short: map[gossip.Name][]string{}, long: map[gossip.Name][]string{},
-		at: map[string][]int{}, toldAt: make([]time.Duration, s.Fleet),
-		heard: make([]map[string]float64, s.Fleet), owed: make([]int, s.Fleet)}
-	if err := d.startRoom(plan); err != nil {
+	d := &Decider{settings: s, module: module, names: map[string]gossip.Name{}, byShortName: map[gossip.Name][]string{}, byName: map[gossip.Name][]string{},
+		peersAt: map[string][]int{}, receivedAt: make([]time.Duration, s.Fleet),
+		peerLoads: make([]map[string]float64, s.Fleet), fullStatesDue: make([]int, s.Fleet)}
+	if err := d.startPlanner(plannerConfig); err != nil {
 		return nil, err
 	}
 	return d, nil
 }
 
-// Step takes one event at the given time and appends the actions that answer it.
+// Step processes one event at the given time, appends the resulting actions to acts and returns it.
 func (d *Decider) Step(now time.Duration, ev *balance.Event, acts []balance.Action) []balance.Action {
-	from := len(acts)
+	first := len(acts)
 	switch {
-	case ev.Kind == balance.TimerDue && ev.Timer == tellTimer:
-		return d.tell(now, acts)
-	case ev.Kind == balance.TimerDue && ev.Timer == roomTimer:
-		return d.roomDue(now, acts)
+	case ev.Kind == balance.TimerDue && ev.Timer == gossipTimer:
+		return d.sendState(now, acts)
+	case ev.Kind == balance.TimerDue && ev.Timer == plannerTimer:
+		return d.plannerDue(now, acts)
 	case ev.Kind == balance.PeerSpoke:
-		return d.hear(now, ev, acts)
+		return d.receive(now, ev, acts)
 	case ev.Kind == balance.Listed && ev.List != balance.AskFailed:
-		d.list(ev)
+		d.updateNames(ev)
 	}
-	late := d.before(now, ev)
+	late := d.finishesLate(now, ev)
 	acts = d.module.Step(now, ev, acts)
-	acts = d.after(now, ev, late, from, acts)
+	acts = d.afterModule(now, ev, late, first, acts)
 	if ev.Kind == balance.Listed && ev.List == balance.FromDisk {
-		acts = d.tell(now, acts)
+		acts = d.sendState(now, acts)
 	}
 	return acts
 }
 
-// View is what the module believes of a target.
+// View returns the module's current estimate of a target. The bool is false if the target is not listed.
 func (d *Decider) View(now time.Duration, target string) (balance.View, bool) {
 	return d.module.View(now, target)
 }
--- a/internal/decide/fleet_bench_test.go
+++ b/internal/decide/fleet_bench_test.go
@@ -10,9 +10,9 @@
 	"cottonwell/internal/gossip"
 )
 
-// BenchmarkFleet is the cost of what comes most often in a large fleet, by targets and schedulers:
-// a change that another scheduler tells, and a request with its start, its end and its telling; and what
-// is held of all of them.
+// BenchmarkFleet measures the most frequent work in a large fleet, by number of targets and schedulers:
+// a change received from another scheduler (heard), and a request with its start, its end and its load
+// messages (request). It also measures the memory of the resulting state (held).
 func BenchmarkFleet(b *testing.B) {
 	for _, targets := range []int{20, 200, 1000} {
 		for _, peers := range []int{2, 80, 300, 1000} {
@@ -20,8 +20,9 @@
 			for i := range targets {
 				ids = append(ids, fmt.Sprintf("s-%08x", i*2654435761))
 			}
-			// begin makes a scheduler of many, where others have work at half of the targets.
-			begin := func(b *testing.B) (*Decider, time.Duration) {
+			// newLoadedDecider makes a Decider that has received work of the other schedulers at half of
+			// the targets.
+			newLoadedDecider := func(b *testing.B) (*Decider, time.Duration) {
 				d, err := New(settings(0, peers), 1, nil)
 				if err != nil {
 					b.Fatal(err)
@@ -40,7 +41,7 @@
 				var before, after runtime.MemStats
 				runtime.GC()
 				runtime.ReadMemStats(&before)
-				d, _ := begin(b)
+				d, _ := newLoadedDecider(b)
 				runtime.GC()
 				runtime.ReadMemStats(&after)
 				b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/1024, "KB")
@@ -49,7 +50,7 @@
 				}
 			})
 			b.Run(fmt.Sprintf("heard/targets=%d/peers=%d", targets, peers), func(b *testing.B) {
-				d, now := begin(b)
+				d, now := newLoadedDecider(b)
 				var raw [2]string
 				for i := range raw {
 					raw[i] = string(gossip.AppendPart(nil, []gossip.Load{{Target: gossip.NameOf(ids[5]), Slots: float64(i)}}))
@@ -60,7 +61,7 @@
 				}
 			})
 			b.Run(fmt.Sprintf("request/targets=%d/peers=%d", targets, peers), func(b *testing.B) {
-				d, now := begin(b)
+				d, now := newLoadedDecider(b)
 				var acts []balance.Action
 				for n := range b.N {
 					id := uint64(n + 1)
@@ -75,7 +76,7 @@
 					if at == "" {
 						b.Fatal("not sent")
 					}
-					acts = d.Step(now, &balance.Event{Kind: balance.TimerDue, Timer: tellTimer}, acts[:0])
+					acts = d.Step(now, &balance.Event{Kind: balance.TimerDue, Timer: gossipTimer}, acts[:0])
 					acts = d.Step(now, &balance.Event{Kind: balance.Noted, Request: id, Worker: at, Started: true}, acts[:0])
 					acts = d.Step(now, &balance.Event{Kind: balance.Ended, Request: id, Worker: at, Result: balance.OK, Final: true,
 						Report: balance.Report{Present: true, InFlight: 1, Free: 3}}, acts[:0])
--- a/internal/decide/gossip.go
+++ b/internal/decide/gossip.go
@@ -9,245 +9,257 @@
 	"cottonwell/internal/gossip"
 )
 
-// list keeps the names of the listed targets.
-func (d *Decider) list(ev *balance.Event) {
+// updateNames updates the names of the listed targets from a list, or from changes to it.
+func (d *Decider) updateNames(ev *balance.Event) {
 	if ev.List != balance.Changes {
 		clear(d.names)
-		clear(d.short)
-		clear(d.long)
+		clear(d.byShortName)
+		clear(d.byName)
 	}
 	for i := range ev.Members {
 		id := ev.Members[i].ID
-		n, had := d.names[id]
+		n, listed := d.names[id]
 		switch gone := ev.Members[i].State == balance.Gone; {
-		case had && gone:
+		case listed && gone:
 			delete(d.names, id)
-			without(d.short, n.Short(), id)
-			without(d.long, n, id)
-		case !had && !gone:
+			removeID(d.byShortName, n.Short(), id)
+			removeID(d.byName, n, id)
+		case !listed && !gone:
 			n = gossip.NameOf(id)
 			d.names[id] = n
-			d.short[n.Short()] = append(d.short[n.Short()], id)
-			d.long[n] = append(d.long[n], id)
+			d.byShortName[n.Short()] = append(d.byShortName[n.Short()], id)
+			d.byName[n] = append(d.byName[n], id)
 		}
 	}
 }
 
-func without(names map[gossip.Name][]string, n gossip.Name, id string) {
+// removeID removes an id from those with the name n, and the name when no id is left.
+func removeID(names map[gossip.Name][]string, n gossip.Name, id string) {
 	ids := slices.DeleteFunc(names[n], func(x string) bool { return x == id })
 	if names[n] = ids; len(ids) == 0 {
 		delete(names, n)
 	}
 }
 
-// tell says to the other schedulers what this one has out and holds: what changed, and now and
-// then all of it, so that no datagram has to arrive. Whoever was silent for too long has nothing
-// out and holds nothing: only reports tell of its work.
-func (d *Decider) tell(now time.Duration, acts []balance.Action) []balance.Action {
-	if !d.s.Peers || d.s.Fleet < 2 {
+// sendState reports this scheduler's outstanding slots and reservations to the other schedulers. It
+// sends changes as they occur and the full state periodically, so that no single datagram has to
+// arrive. It also discards the loads and reservations of each scheduler that was silent for longer
+// than peerTimeout. After that, only the targets' reports include the work of that scheduler.
+func (d *Decider) sendState(now time.Duration, acts []balance.Action) []balance.Action {
+	if !d.settings.Peers || d.settings.Fleet < 2 {
 		return acts
 	}
-	for who, at := range d.toldAt {
-		if at > 0 && now-at > toldFor {
-			d.toldAt[who] = 0
-			for id := range d.heard[who] {
-				d.set(who, id, 0)
+	for peer, receivedAt := range d.receivedAt {
+		if receivedAt > 0 && now-receivedAt > peerTimeout {
+			d.receivedAt[peer] = 0
+			for id := range d.peerLoads[peer] {
+				d.setPeerLoad(peer, id, 0)
 			}
-			acts = d.told(now, who, nil, acts)
+			acts = d.applyPeerState(now, peer, nil, acts)
 		}
 	}
-	d.collect()
-	d.holds(now)
-	// A datagram of changes holds no room, so that none is sent while some is held, or was by the last word.
-	holding, every := len(d.out.Holds) > 0 || d.held, wholeEvery
-	if holding {
-		every = holdEvery
+	d.collectLoads()
+	d.collectReservations(now)
+	// A datagram of changes cannot contain reservations. While there are any, or the last full state
+	// contained some, only full states are sent.
+	reserving, interval := len(d.outgoing.Holds) > 0 || d.sentReservations, fullStateInterval
+	if reserving {
+		interval = reservationInterval
 	}
-	first := d.wholeAt == 0
-	if whole := first || now-d.wholeAt >= every; whole || !holding && len(d.part) > 0 {
-		to, some := d.audience(whole)
-		m := &gossip.Message{Part: true, Loads: d.part}
-		if whole {
-			d.wholeAt, d.held, m = max(now, 1), len(d.out.Holds) > 0, &d.out
+	first := d.fullStateAt == 0
+	if fullState := first || now-d.fullStateAt >= interval; fullState || !reserving && len(d.changes) > 0 {
+		to, needed := d.recipients(fullState)
+		message := &gossip.Message{Part: true, Loads: d.changes}
+		if fullState {
+			d.fullStateAt, d.sentReservations, message = max(now, 1), len(d.outgoing.Holds) > 0, &d.outgoing
 		}
-		if first || holding { // a start ends whatever its name had out; room is planned for by all
-			to, some = nil, true
+		// The first message goes to all schedulers, as it ends the loads of an earlier process with the
+		// same number. Reservations go to all, as each scheduler plans around them.
+		if first || reserving {
+			to, needed = nil, true
 		}
-		if d.said = append(d.said[:0], d.out.Loads...); some {
-			acts = d.say(m, to, acts)
+		if d.sentLoads = append(d.sentLoads[:0], d.outgoing.Loads...); needed {
+			acts = d.appendMessage(message, to, acts)
 		}
 	}
-	return append(acts, balance.Action{Kind: balance.Wake, Timer: tellTimer, After: tellEvery})
+	return append(acts, balance.Action{Kind: balance.Wake, Timer: gossipTimer, After: changesInterval})
 }
 
-// collect lists what is out, in the order of the names, and what of it changed since the last word.
-func (d *Decider) collect() {
-	d.out.Loads, d.part = d.out.Loads[:0], d.part[:0]
+// collectLoads lists the outstanding slots by target in the order of the names, and the changes to
+// them since the last message.
+func (d *Decider) collectLoads() {
+	d.outgoing.Loads, d.changes = d.outgoing.Loads[:0], d.changes[:0]
 	d.module.Out(func(id string, slots float64) {
 		if n, ok := d.names[id]; ok {
-			d.out.Loads = append(d.out.Loads, gossip.Load{Target: n, Slots: slots})
+			d.outgoing.Loads = append(d.outgoing.Loads, gossip.Load{Target: n, Slots: slots})
 		}
 	})
-	slices.SortFunc(d.out.Loads, func(x, y gossip.Load) int { return cmp.Compare(x.Target, y.Target) })
+	slices.SortFunc(d.outgoing.Loads, func(x, y gossip.Load) int { return cmp.Compare(x.Target, y.Target) })
 	n := 0
-	for _, l := range d.out.Loads { // targets that share a whole name are told as one
-		if n > 0 && d.out.Loads[n-1].Target == l.Target {
-			d.out.Loads[n-1].Slots += l.Slots
+	for _, l := range d.outgoing.Loads { // targets with the same full name are reported as one
+		if n > 0 && d.outgoing.Loads[n-1].Target == l.Target {
+			d.outgoing.Loads[n-1].Slots += l.Slots
 			continue
 		}
-		d.out.Loads[n] = l
+		d.outgoing.Loads[n] = l
 		n++
 	}
-	d.out.Loads = d.out.Loads[:n]
-	old := d.said
-	for _, l := range d.out.Loads {
-		for ; len(old) > 0 && old[0].Target < l.Target; old = old[1:] {
-			d.part = append(d.part, gossip.Load{Target: old[0].Target})
+	d.outgoing.Loads = d.outgoing.Loads[:n]
+	previous := d.sentLoads
+	for _, l := range d.outgoing.Loads {
+		for ; len(previous) > 0 && previous[0].Target < l.Target; previous = previous[1:] {
+			d.changes = append(d.changes, gossip.Load{Target: previous[0].Target})
 		}
-		if len(old) > 0 && old[0].Target == l.Target {
-			if old[0].Slots != l.Slots {
-				d.part = append(d.part, l)
+		if len(previous) > 0 && previous[0].Target == l.Target {
+			if previous[0].Slots != l.Slots {
+				d.changes = append(d.changes, l)
 			}
-			old = old[1:]
+			previous = previous[1:]
 			continue
 		}
-		d.part = append(d.part, l)
+		d.changes = append(d.changes, l)
 	}
-	for _, l := range old {
-		d.part = append(d.part, gossip.Load{Target: l.Target})
+	for _, l := range previous {
+		d.changes = append(d.changes, gossip.Load{Target: l.Target})
 	}
 }
 
-// say puts a message into as many datagrams as it takes. Those of old say it in one, unless it
-// does not fit, or a target's short name is another's too: what they left out would be taken for
-// idle, and the other target would have the work as well.
-func (d *Decider) say(m *gossip.Message, to []int, acts []balance.Action) []balance.Action {
-	tells := func() { acts = append(acts, balance.Action{Kind: balance.Tell, Raw: string(d.raw), To: to}) }
-	shared := func(n gossip.Name) bool { return len(d.short[n.Short()]) > 1 }
+// appendMessage appends the actions that send a message, in as many datagrams as it needs. It uses
+// the formats with short names if the message fits into one datagram and no target in it shares its
+// short name with another. Otherwise receivers would take omitted targets for idle, or add the load
+// to the other target as well.
+func (d *Decider) appendMessage(m *gossip.Message, to []int, acts []balance.Action) []balance.Action {
+	emit := func() { acts = append(acts, balance.Action{Kind: balance.Tell, Raw: string(d.encoded), To: to}) }
+	shared := func(n gossip.Name) bool { return len(d.byShortName[n.Short()]) > 1 }
 	if m.Fits() && !slices.ContainsFunc(m.Loads, func(l gossip.Load) bool { return shared(l.Target) }) &&
 		!slices.ContainsFunc(m.Holds, func(h gossip.Hold) bool { return shared(h.Target) }) {
-		if d.raw = d.raw[:0]; m.Part {
-			d.raw = gossip.AppendPart(d.raw, m.Loads)
+		if d.encoded = d.encoded[:0]; m.Part {
+			d.encoded = gossip.AppendPart(d.encoded, m.Loads)
 		} else {
-			d.raw = gossip.Append(d.raw, m)
+			d.encoded = gossip.Append(d.encoded, m)
 		}
-		tells()
+		emit()
 		return acts
 	}
 	rest := *m
 	for first := gossip.Name(0); ; {
-		told := 0
-		d.raw, told, first = gossip.AppendLong(d.raw[:0], &rest, first)
-		tells()
-		if rest.Loads = rest.Loads[told:]; len(rest.Loads) == 0 {
+		written := 0
+		d.encoded, written, first = gossip.AppendLong(d.encoded[:0], &rest, first)
+		emit()
+		if rest.Loads = rest.Loads[written:]; len(rest.Loads) == 0 {
 			return acts
 		}
 	}
 }
 
-// audience is whom a word is for: those that may have jobs for the targets in question, by their
-// place on the ring or because they have some there. So what is spent on telling grows with the
-// schedulers that share a target, not with all of them. Whoever was told of changes gets whole
-// words, too, and some more after the last that concerned it, so that what it believes ends even if
-// one is lost; beyond that it takes this scheduler for silent there, which it is. nil stands for all.
-func (d *Decider) audience(whole bool) (to []int, some bool) {
-	share, n := make([]bool, d.s.Fleet), 0
-	add := func(who int) {
-		if who != d.s.Self && !share[who] {
-			share[who] = true
-			n++
-		}
-	}
-	about := d.part
-	if whole {
-		about = append(about, d.out.Loads...)
-		d.part = about[:len(d.part)]
-	}
-	for _, l := range about {
-		for _, id := range d.long[l.Target] {
-			for k, last := d.module.Near(id); k <= last; k++ {
-				add((k + d.s.Fleet) % d.s.Fleet)
+// recipients returns the schedulers that a message concerns. These may have jobs for its targets by
+// their place on the ring, or have some there now. So the cost of messages grows with the number of
+// schedulers that share a target, and not with the fleet.
+//
+// A scheduler that received changes also receives full states, and trailingFullStates more after
+// the last load that concerns it. So it learns that a load ended even if a datagram is lost. After
+// that it receives nothing, and treats this scheduler as silent, which is correct for its targets.
+//
+// A nil slice means all schedulers. needed is false if the message concerns no scheduler.
+func (d *Decider) recipients(fullState bool) (to []int, needed bool) {
+	included, count := make([]bool, d.settings.Fleet), 0
+	add := func(peer int) {
+		if peer != d.settings.Self && !included[peer] {
+			included[peer] = true
+			count++
+		}
+	}
+	loads := d.changes
+	if fullState {
+		loads = append(loads, d.outgoing.Loads...)
+		d.changes = loads[:len(d.changes)]
+	}
+	for _, l := range loads {
+		for _, id := range d.byName[l.Target] {
+			for place, last := d.module.Near(id); place <= last; place++ {
+				add((place + d.settings.Fleet) % d.settings.Fleet)
 			}
-			for _, who := range d.at[id] {
-				add(who)
+			for _, peer := range d.peersAt[id] {
+				add(peer)
 			}
 		}
 	}
-	for who := range d.owed {
+	for peer := range d.fullStatesDue {
 		switch {
-		case share[who]:
-			d.owed[who] = owedWholes
-		case whole && d.owed[who] > 0:
-			d.owed[who]--
-			add(who)
+		case included[peer]:
+			d.fullStatesDue[peer] = trailingFullStates
+		case fullState && d.fullStatesDue[peer] > 0:
+			d.fullStatesDue[peer]--
+			add(peer)
 		}
 	}
-	if n == d.s.Fleet-1 {
+	if count == d.settings.Fleet-1 {
 		return nil, true
 	}
-	to = make([]int, 0, n)
-	for who, yes := range share {
-		if yes {
-			to = append(to, who)
+	to = make([]int, 0, count)
+	for peer, isIncluded := range included {
+		if isIncluded {
+			to = append(to, peer)
 		}
 	}
-	return to, n > 0
+	return to, count > 0
 }
 
-// set notes what another scheduler has out at a target.
-func (d *Decider) set(who int, id string, slots float64) {
-	has := d.heard[who]
-	had := has[id] > 0
+// setPeerLoad records the slots that another scheduler uses at a target.
+func (d *Decider) setPeerLoad(peer int, id string, slots float64) {
+	loads := d.peerLoads[peer]
+	known := loads[id] > 0
 	switch {
 	case slots > 0:
-		if has[id] = slots; !had {
-			d.at[id] = append(d.at[id], who)
-		}
-	case had:
-		delete(has, id)
-		at := d.at[id]
-		i := slices.Index(at, who)
-		at[i] = at[len(at)-1]
-		if d.at[id] = at[:len(at)-1]; len(at) == 1 {
+		if loads[id] = slots; !known {
+			d.peersAt[id] = append(d.peersAt[id], peer)
+		}
+	case known:
+		delete(loads, id)
+		peers := d.peersAt[id]
+		i := slices.Index(peers, peer)
+		peers[i] = peers[len(peers)-1]
+		if d.peersAt[id] = peers[:len(peers)-1]; len(peers) == 1 {
 			if _, listed := d.names[id]; !listed {
-				delete(d.at, id)
+				delete(d.peersAt, id)
 			}
 		}
 	}
 }
 
-// called lists the targets that the datagram in hand means by a name.
-func (d *Decider) called(n gossip.Name) []string {
-	if d.in.Long {
-		return d.long[n]
+// targetsNamed returns the ids of the targets to which a name in the received message refers.
+func (d *Decider) targetsNamed(n gossip.Name) []string {
+	if d.received.Long {
+		return d.byName[n]
 	}
-	return d.short[n]
+	return d.byShortName[n]
 }
 
-// hear takes in what another scheduler says. What cannot be read is counted and passed over.
-func (d *Decider) hear(now time.Duration, ev *balance.Event, acts []balance.Action) []balance.Action {
-	if ev.Who < 0 || ev.Who >= d.s.Fleet || ev.Who == d.s.Self || gossip.Parse(ev.Raw, &d.in) != nil {
+// receive processes a datagram of another scheduler. It counts and ignores a datagram that cannot
+// be parsed, or whose sender is invalid.
+func (d *Decider) receive(now time.Duration, ev *balance.Event, acts []balance.Action) []balance.Action {
+	if ev.Who < 0 || ev.Who >= d.settings.Fleet || ev.Who == d.settings.Self || gossip.Parse(ev.Raw, &d.received) != nil {
 		d.Unreadable++
 		return acts
 	}
-	d.toldAt[ev.Who] = now
-	if d.heard[ev.Who] == nil {
-		d.heard[ev.Who] = map[string]float64{}
+	d.receivedAt[ev.Who] = now
+	if d.peerLoads[ev.Who] == nil {
+		d.peerLoads[ev.Who] = map[string]float64{}
 	}
-	if !d.in.Part {
-		for id := range d.heard[ev.Who] {
-			if d.in.Long {
-				if n := gossip.NameOf(id); n < d.in.First || n > d.in.Final {
+	if !d.received.Part {
+		for id := range d.peerLoads[ev.Who] {
+			if d.received.Long {
+				if n := gossip.NameOf(id); n < d.received.First || n > d.received.Final {
 					continue
 				}
 			}
-			d.set(ev.Who, id, 0)
+			d.setPeerLoad(ev.Who, id, 0)
 		}
 	}
-	for _, l := range d.in.Loads {
-		for _, id := range d.called(l.Target) {
-			d.set(ev.Who, id, l.Slots)
+	for _, l := range d.received.Loads {
+		for _, id := range d.targetsNamed(l.Target) {
+			d.setPeerLoad(ev.Who, id, l.Slots)
 		}
 	}
-	return d.told(now, ev.Who, d.in.Holds, acts)
+	return d.applyPeerState(now, ev.Who, d.received.Holds, acts)
 }
--- a/internal/decide/room.go
+++ b/internal/decide/room.go
@@ -12,160 +12,166 @@
 	"cottonwell/internal/room"
 )
 
-// roomers is what the Decider keeps for the planner.
-type roomers struct {
-	classes []string
-	plans   []room.Action
-	foreign []room.Foreign
-	had     [][]string // targets of each scheduler's last word
+// plannerState is the part of the Decider that serves the planner.
+type plannerState struct {
+	classes          []string       // class names by the planner's class number
+	plannerActions   []room.Action  // not yet applied to the module
+	peerReservations []room.Foreign // buffer for the reservations of one scheduler
+	peerTargets      [][]string     // targets in the last loads of each scheduler
 }
 
+// millis converts a time of the module to the planner's unit.
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// span turns the planner's unit into the module's. A time on a real clock, from the Unix
-// epoch, lies within these limits, and the infinite one without.
-func span(ms float64) time.Duration {
+// durationOf converts milliseconds, the planner's unit, to the module's. The limits contain every
+// time of a real clock since the Unix epoch. They cut off infinite times, which a Duration cannot
+// represent.
+func durationOf(ms float64) time.Duration {
 	return time.Duration(max(-9e12, min(9e12, ms)) * float64(time.Millisecond))
 }
 
-// startRoom sets the planner up. What the settings say wins over what the plan says of them.
-func (d *Decider) startRoom(plan *room.Config) (err error) {
-	if plan == nil {
+// startPlanner creates the planner, unless plannerConfig is nil. The settings take precedence over
+// plannerConfig for the scheduler's number, the fleet size and the classes.
+func (d *Decider) startPlanner(plannerConfig *room.Config) (err error) {
+	if plannerConfig == nil {
 		return nil
 	}
-	c := *plan
-	c.Self, c.Fleet = d.s.Self, d.s.Fleet
-	c.Classes = nil
-	for _, x := range d.s.Classes {
-		c.Classes = append(c.Classes, x.Name)
+	config := *plannerConfig
+	config.Self, config.Fleet = d.settings.Self, d.settings.Fleet
+	config.Classes = nil
+	for _, class := range d.settings.Classes {
+		config.Classes = append(config.Classes, class.Name)
 	}
-	if d.room, err = room.New(c); err != nil {
-		return fmt.Errorf("planner of held room: %w", err)
+	if d.planner, err = room.New(config); err != nil {
+		return fmt.Errorf("reservation planner: %w", err)
 	}
-	d.classes = c.Classes
-	d.had = make([][]string, d.s.Fleet)
+	d.classes = config.Classes
+	d.peerTargets = make([][]string, d.settings.Fleet)
 	return nil
 }
 
-// Room returns the planner to be looked at, or nil.
-func (d *Decider) Room() *room.Planner { return d.room }
+// Room returns the planner for inspection, or nil if it is disabled.
+func (d *Decider) Room() *room.Planner { return d.planner }
 
-// plan hands the planner an event; what it wants is done by settle.
-func (d *Decider) plan(now time.Duration, ev room.Event) {
-	d.plans = d.room.Step(millis(now), &ev, d.plans)
+// notifyPlanner passes an event to the planner. exchangeActions applies the resulting actions.
+func (d *Decider) notifyPlanner(now time.Duration, ev room.Event) {
+	d.plannerActions = d.planner.Step(millis(now), &ev, d.plannerActions)
 }
 
-// before says whether a request that this event finishes as served comes too late for its
-// aim; afterwards the module has forgotten it.
-func (d *Decider) before(now time.Duration, ev *balance.Event) (late bool) {
-	return d.room != nil && ev.Kind == balance.Ended && ev.Final && !d.module.InTime(now, ev.Request)
+// finishesLate reports whether this event ends a request after its latency target. It must run
+// before the module processes the event, as the module then forgets the request.
+func (d *Decider) finishesLate(now time.Duration, ev *balance.Event) (late bool) {
+	return d.planner != nil && ev.Kind == balance.Ended && ev.Final && !d.module.InTime(now, ev.Request)
 }
 
-// after tells the planner what an event and the module's answer to it mean, and the module
-// what the planner holds, until neither has anything to say.
-func (d *Decider) after(now time.Duration, ev *balance.Event, late bool, from int, acts []balance.Action) []balance.Action {
-	if d.room == nil {
+// afterModule passes an event and the module's actions on it to the planner, and the planner's
+// actions to the module, until neither produces more. The module's actions start at acts[first].
+func (d *Decider) afterModule(now time.Duration, ev *balance.Event, late bool, first int, acts []balance.Action) []balance.Action {
+	if d.planner == nil {
 		return acts
 	}
 	switch ev.Kind {
 	case balance.Listed:
-		d.roomList(now, ev)
+		d.updatePlannerTargets(now, ev)
 	case balance.Noted:
 		if ev.Started {
-			d.plan(now, room.Event{Kind: room.Started, Flow: ev.Request})
+			d.notifyPlanner(now, room.Event{Kind: room.Started, Flow: ev.Request})
 		}
 	case balance.Probed:
-		d.measure(now, ev.Worker, &ev.Report)
+		d.measureTarget(now, ev.Worker, &ev.Report)
 	case balance.Ended:
-		d.plan(now, room.Event{Kind: room.Ended, Flow: ev.Request, OK: ev.Result == balance.OK})
-		d.measure(now, ev.Worker, &ev.Report)
+		d.notifyPlanner(now, room.Event{Kind: room.Ended, Flow: ev.Request, OK: ev.Result == balance.OK})
+		d.measureTarget(now, ev.Worker, &ev.Report)
 		if ev.Final {
-			d.plan(now, room.Event{Kind: room.Over, Flow: ev.Request, OK: ev.Result == balance.OK && !late})
+			d.notifyPlanner(now, room.Event{Kind: room.Over, Flow: ev.Request, OK: ev.Result == balance.OK && !late})
 		}
 	case balance.Departed:
-		d.plan(now, room.Event{Kind: room.Over, Flow: ev.Request})
+		d.notifyPlanner(now, room.Event{Kind: room.Over, Flow: ev.Request})
 	}
-	acts = d.settle(now, ev, from, acts)
+	acts = d.exchangeActions(now, ev, first, acts)
 	if ev.Kind == balance.Arrived || ev.Kind == balance.Ended && !ev.Final {
-		if latest, anywhere, held := d.module.Held(now, ev.Request); held && anywhere {
-			e := room.Event{Kind: room.Waits, Flow: ev.Request, Latest: millis(latest)}
+		if latest, anywhere, queued := d.module.Held(now, ev.Request); queued && anywhere {
+			wait := room.Event{Kind: room.Waits, Flow: ev.Request, Latest: millis(latest)}
 			if ev.Kind == balance.Arrived {
-				e.Class, e.Tenant, e.Need, e.Memory, e.Sort = ev.Class, ev.Tenant, ev.Slots, ev.Memory, d.sortOf(ev.Class)
+				wait.Class, wait.Tenant, wait.Need, wait.Memory, wait.Sort = ev.Class, ev.Tenant, ev.Slots, ev.Memory, d.machineKindOf(ev.Class)
 			}
-			from = len(acts)
-			d.plan(now, e)
-			acts = d.settle(now, ev, from, acts)
+			first = len(acts)
+			d.notifyPlanner(now, wait)
+			acts = d.exchangeActions(now, ev, first, acts)
 		}
 	}
 	return acts
 }
 
-func (d *Decider) sortOf(class string) string {
-	for i := range d.s.Classes {
-		if d.s.Classes[i].Name == class {
-			return d.s.Classes[i].Kind
+// machineKindOf returns the kind of machine that a class needs; empty if unset.
+func (d *Decider) machineKindOf(class string) string {
+	for i := range d.settings.Classes {
+		if d.settings.Classes[i].Name == class {
+			return d.settings.Classes[i].Kind
 		}
 	}
 	return ""
 }
 
-// settle carries the module's actions from the given place on to the planner, and the
-// planner's to the module. Each round sends or answers a request, or changes what is held,
-// which the planner does a bounded number of times for each event.
-func (d *Decider) settle(now time.Duration, ev *balance.Event, from int, acts []balance.Action) []balance.Action {
-	for i := from; i < len(acts) || len(d.plans) > 0; {
+// exchangeActions passes the module's actions from acts[first] on to the planner, and the planner's
+// to the module. Each round sends a request, ends one or changes a reservation. The planner does so
+// a bounded number of times for each event, so the loop ends.
+func (d *Decider) exchangeActions(now time.Duration, ev *balance.Event, first int, acts []balance.Action) []balance.Action {
+	for i := first; i < len(acts) || len(d.plannerActions) > 0; {
 		for ; i < len(acts); i++ {
-			d.act(now, ev, &acts[i])
+			d.forwardModuleAction(now, ev, &acts[i])
 		}
-		plans := d.plans
-		d.plans = nil
-		for k := range plans {
-			acts = d.obey(now, &plans[k], acts)
+		plannerActions := d.plannerActions
+		d.plannerActions = nil
+		for k := range plannerActions {
+			acts = d.applyPlannerAction(now, &plannerActions[k], acts)
 		}
-		if len(d.plans) == 0 {
-			d.plans = plans[:0]
+		if len(d.plannerActions) == 0 {
+			d.plannerActions = plannerActions[:0]
 		}
 	}
 	return acts
 }
 
-// act tells the planner of one thing that the module does.
-func (d *Decider) act(now time.Duration, ev *balance.Event, a *balance.Action) {
-	switch a.Kind {
+// forwardModuleAction passes one action of the module to the planner.
+func (d *Decider) forwardModuleAction(now time.Duration, ev *balance.Event, action *balance.Action) {
+	switch action.Kind {
 	case balance.Send:
-		e := room.Event{Kind: room.Begun, Flow: a.Request, Target: a.Worker}
-		if ev.Kind == balance.Arrived && ev.Request == a.Request {
-			e.Class, e.Need, e.Memory = ev.Class, ev.Slots, ev.Memory
+		sent := room.Event{Kind: room.Begun, Flow: action.Request, Target: action.Worker}
+		if ev.Kind == balance.Arrived && ev.Request == action.Request {
+			sent.Class, sent.Need, sent.Memory = ev.Class, ev.Slots, ev.Memory
 		}
-		d.plan(now, e)
-		d.measure(now, a.Worker, nil)
+		d.notifyPlanner(now, sent)
+		d.measureTarget(now, action.Worker, nil)
 	case balance.Refuse, balance.Fail:
-		d.plan(now, room.Event{Kind: room.Over, Flow: a.Request})
+		d.notifyPlanner(now, room.Event{Kind: room.Over, Flow: action.Request})
 	}
 }
 
-// obey tells the module of one thing that the planner wants.
-func (d *Decider) obey(now time.Duration, a *room.Action, acts []balance.Action) []balance.Action {
-	d.ev = balance.Event{Kind: balance.Kept, Worker: a.Target, Request: a.Flow}
-	switch a.Kind {
+// applyPlannerAction applies one action of the planner: it requests a timer, or updates the
+// reservation at a target in the module.
+func (d *Decider) applyPlannerAction(now time.Duration, action *room.Action, acts []balance.Action) []balance.Action {
+	d.event = balance.Event{Kind: balance.Kept, Worker: action.Target, Request: action.Flow}
+	switch action.Kind {
 	case room.Wake:
-		return append(acts, balance.Action{Kind: balance.Wake, Timer: roomTimer, After: max(0, span(a.At)-now)})
+		return append(acts, balance.Action{Kind: balance.Wake, Timer: plannerTimer, After: max(0, durationOf(action.At)-now)})
 	case room.Hold:
-		k := &balance.Keep{Request: a.Flow, Spare: a.Spare, Most: a.Most}
-		for i, last := range a.Last {
-			if last > millis(now) {
-				if k.Last == nil {
-					k.Last = make(map[string]time.Duration, len(a.Last))
+		keep := &balance.Keep{Request: action.Flow, Spare: action.Spare, Most: action.Most}
+		for i, until := range action.Last {
+			if until > millis(now) {
+				if keep.Last == nil {
+					keep.Last = make(map[string]time.Duration, len(action.Last))
 				}
-				k.Last[d.classes[i]] = span(last)
+				keep.Last[d.classes[i]] = durationOf(until)
 			}
 		}
-		d.ev.Keep = k
+		d.event.Keep = keep
 	}
-	return d.module.Step(now, &d.ev, acts)
+	return d.module.Step(now, &d.event, acts)
 }
 
-func (d *Decider) roomList(now time.Duration, ev *balance.Event) {
+// updatePlannerTargets passes a list of targets, or changes to it, to the planner.
+func (d *Decider) updatePlannerTargets(now time.Duration, ev *balance.Event) {
 	if ev.List == balance.AskFailed {
 		return
 	}
@@ -174,86 +180,88 @@
 		for i := range ev.Members {
 			listed[ev.Members[i].ID] = true
 		}
-		for _, id := range d.room.Targets() {
+		for _, id := range d.planner.Targets() {
 			if !listed[id] {
-				d.plan(now, room.Event{Kind: room.Down, Target: id})
+				d.notifyPlanner(now, room.Event{Kind: room.Down, Target: id})
 			}
 		}
 	}
 	for i := range ev.Members {
 		m := &ev.Members[i]
 		if m.State == balance.Suspended {
-			continue // what is planned there stands, and the module sends nothing meanwhile
+			continue // reservations there stay; the module sends nothing there until the target is ready
 		}
 		if m.State != balance.Ready {
-			d.plan(now, room.Event{Kind: room.Down, Target: m.ID})
+			d.notifyPlanner(now, room.Event{Kind: room.Down, Target: m.ID})
 			continue
 		}
 		h := fnv.New32a()
 		h.Write([]byte(m.ID))
-		d.plan(now, room.Event{Kind: room.Up, Target: m.ID, Hash: h.Sum32(), Sort: m.Kind, Can: m.Classes})
-		d.measure(now, m.ID, nil)
+		d.notifyPlanner(now, room.Event{Kind: room.Up, Target: m.ID, Hash: h.Sum32(), Sort: m.Kind, Can: m.Classes})
+		d.measureTarget(now, m.ID, nil)
 	}
 }
 
-// measure tells the planner what the module believes of a target.
-func (d *Decider) measure(now time.Duration, id string, rep *balance.Report) {
-	v, ok := d.module.View(now, id)
+// measureTarget passes the module's estimate of a target to the planner, with the free memory if
+// report contains it. report may be nil.
+func (d *Decider) measureTarget(now time.Duration, id string, report *balance.Report) {
+	view, ok := d.module.View(now, id)
 	if !ok {
 		return
 	}
-	e := room.Event{Kind: room.Measured, Target: id, Slots: v.Slots, Busy: v.Load, Memory: -1, Slow: v.Slow, Cold: v.Cold,
-		Usable: millis(v.Usable)}
-	if rep != nil && rep.Present && rep.Memory > 0 {
-		e.Memory = rep.Memory
+	measured := room.Event{Kind: room.Measured, Target: id, Slots: view.Slots, Busy: view.Load, Memory: -1, Slow: view.Slow, Cold: view.Cold,
+		Usable: millis(view.Usable)}
+	if report != nil && report.Present && report.Memory > 0 {
+		measured.Memory = report.Memory
 	}
-	d.plan(now, e)
+	d.notifyPlanner(now, measured)
 }
 
-func (d *Decider) roomDue(now time.Duration, acts []balance.Action) []balance.Action {
-	if d.room == nil {
+// plannerDue passes the planner's timer to it and applies the resulting actions.
+func (d *Decider) plannerDue(now time.Duration, acts []balance.Action) []balance.Action {
+	if d.planner == nil {
 		return acts
 	}
-	from := len(acts)
-	d.plan(now, room.Event{Kind: room.Due})
-	d.ev = balance.Event{Kind: balance.TimerDue}
-	return d.settle(now, &d.ev, from, acts)
+	first := len(acts)
+	d.notifyPlanner(now, room.Event{Kind: room.Due})
+	d.event = balance.Event{Kind: balance.TimerDue}
+	return d.exchangeActions(now, &d.event, first, acts)
 }
 
-// holds collects what is held here for the next datagram.
-func (d *Decider) holds(now time.Duration) {
-	d.out.Holds = d.out.Holds[:0]
-	if d.room == nil {
+// collectReservations lists this scheduler's reservations for the next full state.
+func (d *Decider) collectReservations(now time.Duration) {
+	d.outgoing.Holds = d.outgoing.Holds[:0]
+	if d.planner == nil {
 		return
 	}
-	d.room.Own(func(id string, slots, out, from float64) {
-		d.out.Holds = append(d.out.Holds, gossip.Hold{Target: gossip.NameOf(id), Slots: slots, Out: out, From: from - millis(now)})
+	d.planner.Own(func(id string, slots, out, neededAt float64) {
+		d.outgoing.Holds = append(d.outgoing.Holds, gossip.Hold{Target: gossip.NameOf(id), Slots: slots, Out: out, From: neededAt - millis(now)})
 	})
 }
 
-// told hands the module and the planner what a scheduler has out and holds.
-func (d *Decider) told(now time.Duration, who int, holds []gossip.Hold, acts []balance.Action) []balance.Action {
-	from := len(acts)
-	d.ev = balance.Event{Kind: balance.PeerSpoke, Who: who, Loads: d.heard[who]}
-	acts = d.module.Step(now, &d.ev, acts)
-	if d.room == nil {
+// applyPeerState passes the loads and reservations of another scheduler to the module and the planner.
+func (d *Decider) applyPeerState(now time.Duration, peer int, reservations []gossip.Hold, acts []balance.Action) []balance.Action {
+	first := len(acts)
+	d.event = balance.Event{Kind: balance.PeerSpoke, Who: peer, Loads: d.peerLoads[peer]}
+	acts = d.module.Step(now, &d.event, acts)
+	if d.planner == nil {
 		return acts
 	}
-	for _, id := range d.had[who] {
-		d.measure(now, id, nil)
+	for _, id := range d.peerTargets[peer] {
+		d.measureTarget(now, id, nil)
 	}
-	d.had[who] = d.had[who][:0]
-	for _, id := range slices.Sorted(maps.Keys(d.heard[who])) {
-		d.had[who] = append(d.had[who], id)
-		d.measure(now, id, nil)
+	d.peerTargets[peer] = d.peerTargets[peer][:0]
+	for _, id := range slices.Sorted(maps.Keys(d.peerLoads[peer])) {
+		d.peerTargets[peer] = append(d.peerTargets[peer], id)
+		d.measureTarget(now, id, nil)
 	}
-	d.foreign = d.foreign[:0]
-	for _, h := range holds {
-		for _, id := range d.called(h.Target) {
-			d.foreign = append(d.foreign, room.Foreign{Target: id, Slots: h.Slots, From: millis(now) + h.From})
+	d.peerReservations = d.peerReservations[:0]
+	for _, h := range reservations {
+		for _, id := range d.targetsNamed(h.Target) {
+			d.peerReservations = append(d.peerReservations, room.Foreign{Target: id, Slots: h.Slots, From: millis(now) + h.From})
 		}
 	}
-	d.plan(now, room.Event{Kind: room.Heard, Who: who, Holds: d.foreign})
-	d.ev = balance.Event{Kind: balance.PeerSpoke}
-	return d.settle(now, &d.ev, from, acts)
+	d.notifyPlanner(now, room.Event{Kind: room.Heard, Who: peer, Holds: d.peerReservations})
+	d.event = balance.Event{Kind: balance.PeerSpoke}
+	return d.exchangeActions(now, &d.event, first, acts)
 }
