--- a/internal/decide/room.go
+++ b/internal/decide/room.go
@@ -14,10 +14,10 @@
 
 // plannerState is the part of the Decider that serves the planner.
 type plannerState struct {
-	classes          []string       // class names by the planner's class number
-	plannerActions   []room.Action  // not yet applied to the module
-	peerReservations []room.Foreign // buffer for the reservations of one scheduler
-	peerTargets      [][]string     // targets in the last loads of each scheduler
+	classes          []string               // class names by the planner's class number
+	plannerActions   []room.Action          // not yet applied to the module
+	peerReservations []room.PeerReservation // buffer for the reservations of one scheduler
+	peerTargets      [][]string             // targets in the last loads of each scheduler
 }
 
 // millis converts a time of the module to the planner's unit.
@@ -75,25 +75,25 @@
 		d.updatePlannerTargets(now, ev)
 	case balance.Noted:
 		if ev.Started {
-			d.notifyPlanner(now, room.Event{Kind: room.Started, Flow: ev.Request})
+			d.notifyPlanner(now, room.Event{Kind: room.AttemptStarted, Flow: ev.Request})
 		}
 	case balance.Probed:
 		d.measureTarget(now, ev.Worker, &ev.Report)
 	case balance.Ended:
-		d.notifyPlanner(now, room.Event{Kind: room.Ended, Flow: ev.Request, OK: ev.Result == balance.OK})
+		d.notifyPlanner(now, room.Event{Kind: room.AttemptEnded, Flow: ev.Request, OK: ev.Result == balance.OK})
 		d.measureTarget(now, ev.Worker, &ev.Report)
 		if ev.Final {
-			d.notifyPlanner(now, room.Event{Kind: room.Over, Flow: ev.Request, OK: ev.Result == balance.OK && !late})
+			d.notifyPlanner(now, room.Event{Kind: room.FlowDone, Flow: ev.Request, OK: ev.Result == balance.OK && !late})
 		}
 	case balance.Departed:
-		d.notifyPlanner(now, room.Event{Kind: room.Over, Flow: ev.Request})
+		d.notifyPlanner(now, room.Event{Kind: room.FlowDone, Flow: ev.Request})
 	}
 	acts = d.exchangeActions(now, ev, first, acts)
 	if ev.Kind == balance.Arrived || ev.Kind == balance.Ended && !ev.Final {
 		if latest, anywhere, queued := d.module.Held(now, ev.Request); queued && anywhere {
-			wait := room.Event{Kind: room.Waits, Flow: ev.Request, Latest: millis(latest)}
+			wait := room.Event{Kind: room.FlowQueued, Flow: ev.Request, LatestStart: millis(latest)}
 			if ev.Kind == balance.Arrived {
-				wait.Class, wait.Tenant, wait.Need, wait.Memory, wait.Sort = ev.Class, ev.Tenant, ev.Slots, ev.Memory, d.machineKindOf(ev.Class)
+				wait.Class, wait.Tenant, wait.Need, wait.Memory, wait.MachineKind = ev.Class, ev.Tenant, ev.Slots, ev.Memory, d.machineKindOf(ev.Class)
 			}
 			first = len(acts)
 			d.notifyPlanner(now, wait)
@@ -137,14 +137,14 @@
 func (d *Decider) forwardModuleAction(now time.Duration, ev *balance.Event, action *balance.Action) {
 	switch action.Kind {
 	case balance.Send:
-		sent := room.Event{Kind: room.Begun, Flow: action.Request, Target: action.Worker}
+		sent := room.Event{Kind: room.AttemptSent, Flow: action.Request, Target: action.Worker}
 		if ev.Kind == balance.Arrived && ev.Request == action.Request {
 			sent.Class, sent.Need, sent.Memory = ev.Class, ev.Slots, ev.Memory
 		}
 		d.notifyPlanner(now, sent)
 		d.measureTarget(now, action.Worker, nil)
 	case balance.Refuse, balance.Fail:
-		d.notifyPlanner(now, room.Event{Kind: room.Over, Flow: action.Request})
+		d.notifyPlanner(now, room.Event{Kind: room.FlowDone, Flow: action.Request})
 	}
 }
 
@@ -155,12 +155,12 @@
 	switch action.Kind {
 	case room.Wake:
 		return append(acts, balance.Action{Kind: balance.Wake, Timer: plannerTimer, After: max(0, durationOf(action.At)-now)})
-	case room.Hold:
-		keep := &balance.Keep{Request: action.Flow, Spare: action.Spare, Most: action.Most}
-		for i, until := range action.Last {
+	case room.Reserve:
+		keep := &balance.Keep{Request: action.Flow, Spare: action.SpareSlots, Most: action.BackfillSlots}
+		for i, until := range action.BackfillUntil {
 			if until > millis(now) {
 				if keep.Last == nil {
-					keep.Last = make(map[string]time.Duration, len(action.Last))
+					keep.Last = make(map[string]time.Duration, len(action.BackfillUntil))
 				}
 				keep.Last[d.classes[i]] = durationOf(until)
 			}
@@ -182,7 +182,7 @@
 		}
 		for _, id := range d.planner.Targets() {
 			if !listed[id] {
-				d.notifyPlanner(now, room.Event{Kind: room.Down, Target: id})
+				d.notifyPlanner(now, room.Event{Kind: room.TargetDown, Target: id})
 			}
 		}
 	}
@@ -192,12 +192,12 @@
 			continue // reservations there stay; the module sends nothing there until the target is ready
 		}
 		if m.State != balance.Ready {
-			d.notifyPlanner(now, room.Event{Kind: room.Down, Target: m.ID})
+			d.notifyPlanner(now, room.Event{Kind: room.TargetDown, Target: m.ID})
 			continue
 		}
 		h := fnv.New32a()
 		h.Write([]byte(m.ID))
-		d.notifyPlanner(now, room.Event{Kind: room.Up, Target: m.ID, Hash: h.Sum32(), Sort: m.Kind, Can: m.Classes})
+		d.notifyPlanner(now, room.Event{Kind: room.TargetUp, Target: m.ID, Hash: h.Sum32(), MachineKind: m.Kind, AllowedClasses: m.Classes})
 		d.measureTarget(now, m.ID, nil)
 	}
 }
@@ -209,8 +209,8 @@
 	if !ok {
 		return
 	}
-	measured := room.Event{Kind: room.Measured, Target: id, Slots: view.Slots, Busy: view.Load, Memory: -1, Slow: view.Slow, Cold: view.Cold,
-		Usable: millis(view.Usable)}
+	measured := room.Event{Kind: room.TargetMeasured, Target: id, Slots: view.Slots, Busy: view.Load, Memory: -1, Slowdown: view.Slow, Cold: view.Cold,
+		UsableFrom: millis(view.Usable)}
 	if report != nil && report.Present && report.Memory > 0 {
 		measured.Memory = report.Memory
 	}
@@ -223,7 +223,7 @@
 		return acts
 	}
 	first := len(acts)
-	d.notifyPlanner(now, room.Event{Kind: room.Due})
+	d.notifyPlanner(now, room.Event{Kind: room.TimerDue})
 	d.event = balance.Event{Kind: balance.TimerDue}
 	return d.exchangeActions(now, &d.event, first, acts)
 }
@@ -234,7 +234,7 @@
 	if d.planner == nil {
 		return
 	}
-	d.planner.Own(func(id string, slots, out, neededAt float64) {
+	d.planner.OwnReservations(func(id string, slots, out, neededAt float64) {
 		d.outgoing.Holds = append(d.outgoing.Holds, gossip.Hold{Target: gossip.NameOf(id), Slots: slots, Out: out, From: neededAt - millis(now)})
 	})
 }
@@ -258,10 +258,10 @@
 	d.peerReservations = d.peerReservations[:0]
 	for _, h := range reservations {
 		for _, id := range d.targetsNamed(h.Target) {
-			d.peerReservations = append(d.peerReservations, room.Foreign{Target: id, Slots: h.Slots, From: millis(now) + h.From})
+			d.peerReservations = append(d.peerReservations, room.PeerReservation{Target: id, Slots: h.Slots, From: millis(now) + h.From})
 		}
 	}
-	d.notifyPlanner(now, room.Event{Kind: room.Heard, Who: peer, Holds: d.peerReservations})
+	d.notifyPlanner(now, room.Event{Kind: room.PeerReserved, Peer: peer, Reservations: d.peerReservations})
 	d.event = balance.Event{Kind: balance.PeerSpoke}
 	return d.exchangeActions(now, &d.event, first, acts)
 }
--- a/internal/room/api.go
+++ b/internal/room/api.go
@@ -1,12 +1,16 @@
-// Package room plans room for large jobs: a reservation at the earliest time at which one can
-// start, and small jobs in the gaps that end before it or fit beside it (EASY backfilling:
-// Lifka 1995; Mu'alem and Feitelson 2001), for schedulers that see reports late and share no
-// more than datagrams that may be lost. docs/design/room.md says why it is as it is.
+// Package room plans reservations for large jobs. A large job that finds no target with enough free
+// slots gets a reservation at the target where it can start first. Small jobs may still run there if
+// they end before the reservation begins, or fit beside it. This is EASY backfilling (Lifka 1995;
+// Mu'alem and Feitelson 2001), adapted to schedulers that receive the targets' reports late and share
+// no state except by datagrams that may be lost. docs/design/room.md explains the design.
 //
-// It is a state machine without I/O, like package balance: events in, actions out; it reads
-// no clock, starts no goroutine and keeps no global state. Times are milliseconds on the
-// host's clock. It decides where room is held, from when and what may go there beside it.
-// Which target a flow goes to is the decision module's to say.
+// The planner takes events about targets, flows, attempts and the reservations of other schedulers.
+// It returns actions: reserve slots at a target, release them, or request a timer. It decides at which
+// target slots are reserved, from when, and which jobs may run there meanwhile. It does not choose the
+// targets of flows: the decision module (package balance) does.
+//
+// It is a state machine without I/O, like package balance. It reads no clock, starts no goroutine and
+// has no global state. Times are milliseconds on the host's clock.
 package room
 
 import (
@@ -14,51 +18,51 @@
 	"slices"
 )
 
-// Mode says how room is held. The lesser ones are there to be compared with.
+// Mode selects how slots are reserved. NoBackfill and Emptying exist for comparison with Backfill.
 type Mode int
 
 // The modes.
 const (
-	Backfill   Mode = iota // small jobs that end in time, or fit beside, may go where room is held
-	NoBackfill             // nothing goes there, whatever it would take
-	Emptying               // no expected ends: the emptiest target is held until it is empty
+	Backfill   Mode = iota // small jobs may run at a reserved target if they end before the reservation or fit beside it
+	NoBackfill             // no other job may start at a reserved target
+	Emptying               // expected ends are not used: the emptiest target is reserved until it is empty
 )
 
-// Bounds of what the planner keeps. Beyond them nothing is held for further flows and
-// targets, and they are counted; whatever they need goes on without the planner.
+// Limits of the planner's state. Flows and targets beyond them are counted and get no reservations.
+// They are served without the planner.
 const (
-	MaxTargets = 16384
-	MaxFlows   = 65536
-	maxTenants = 256 // further ones share one account
-	maxSizes   = 6   // distinct numbers of slots; a further one counts as the next larger
-	maxRuns    = 128 // ends looked at for one target
-	maxMoves   = 3   // times that one flow's room may be sought anew
+	MaxTargets            = 16384
+	MaxFlows              = 65536
+	maxTenants            = 256 // further tenants share one account
+	maxSizes              = 6   // distinct numbers of slots; a further one counts as the next larger
+	maxRunsPerTarget      = 128 // jobs whose expected ends are considered at one target
+	maxReservationRetries = 3   // reservations for one flow after its first
 )
 
-// Config sets a planner up.
+// Config configures a planner.
 type Config struct {
-	Self, Fleet int      // number of this scheduler, and how many there are
-	Classes     []string // of flows; running times are learned for each
+	Self, Fleet int      // number of this scheduler, and number of schedulers
+	Classes     []string // of flows; run times are learned for each
 	Mode        Mode
 	Large       float64 // slots from which a flow is large
-	Share       float64 // of the target group's slots that may be held at once, 0 to 1
-	TenantShare float64 // of those, for one tenant; one hold it may always have
-	Longest     float64 // milliseconds that a hold may last
-	Confidence  float64 // share of the jobs in gaps that must end in time, 0.5 to 0.99
-	SmallDrop   float64 // share of the small flows that may go unserved for what is held
+	Share       float64 // share of the target group's slots that may be reserved at once, 0 to 1
+	TenantShare float64 // share of the reservable slots for one tenant, 0 to 1; each may have one reservation in any case
+	Longest     float64 // longest duration of a reservation, ms
+	Confidence  float64 // share of the backfilled jobs that must end before the reservation begins, 0.5 to 0.99
+	SmallDrop   float64 // share of the small flows that may go unserved because of reservations, 0 to 1
 }
 
-// Default is what an operator's file leaves out.
+// Default returns the values of the settings that an operator's file omits.
 func Default() Config {
 	return Config{Fleet: 1, Large: 2, Share: 0.25, TenantShare: 0.6, Longest: 1000, Confidence: 0.9, SmallDrop: 0.02}
 }
 
-// Check returns an error that names the setting that is impossible.
+// Check returns an error that names the first invalid setting, or nil.
 func (c *Config) Check() error {
-	for _, x := range []struct {
-		name        string
-		is, lo, hi  float64
-		unit, about string
+	for _, setting := range []struct {
+		name                   string
+		value, lowest, highest float64
+		unit, allowed          string
 	}{
 		{"large", c.Large, 1, 1024, "slots", "1 to 1024"},
 		{"share", c.Share, 0, 1, "", "0% to 100%"},
@@ -67,131 +71,132 @@
 		{"confidence", c.Confidence, 0.5, 0.99, "", "50% to 99%"},
 		{"small_drop", c.SmallDrop, 0, 1, "", "0% to 100%"},
 	} {
-		if !(x.is >= x.lo && x.is <= x.hi) {
-			return fmt.Errorf("room.%s is %g%s, and may be %s", x.name, x.is, x.unit, x.about)
+		if !(setting.value >= setting.lowest && setting.value <= setting.highest) {
+			return fmt.Errorf("room.%s is %g%s, and may be %s", setting.name, setting.value, setting.unit, setting.allowed)
 		}
 	}
 	switch {
 	case c.Fleet < 1 || c.Self < 0 || c.Self >= c.Fleet:
-		return fmt.Errorf("room: scheduler %d of %d", c.Self, c.Fleet)
+		return fmt.Errorf("room: scheduler %d is not in a fleet of %d", c.Self, c.Fleet)
 	case len(c.Classes) == 0 || len(c.Classes) > 64:
 		return fmt.Errorf("room: %d classes, and may be 1 to 64", len(c.Classes))
 	case c.Mode < Backfill || c.Mode > Emptying:
-		return fmt.Errorf("room: mode %d", c.Mode)
+		return fmt.Errorf("room: unknown mode %d", c.Mode)
 	}
 	for i, name := range c.Classes {
 		if slices.Contains(c.Classes[:i], name) {
-			return fmt.Errorf("room: class %q is there twice", name)
+			return fmt.Errorf("room: class %q is listed twice", name)
 		}
 	}
 	return nil
 }
 
-// Kind tells events apart.
-type Kind int
+// EventKind is the kind of an Event.
+type EventKind int
 
 // The kinds of events.
 const (
-	Up       Kind = iota // a target is listed, or restarted: Target, Hash, Sort, Can
-	Down                 // it drains or is gone: Target
-	Measured             // what is believed of it: Target, Slots, Busy, Memory, Slow, Cold, Usable
-	Waits                // a flow has no target yet: Flow, Class, Tenant, Need, Memory, Sort, Latest
-	Begun                // an attempt was sent: Flow, Class, Need, Memory, Target
-	Started              // its job runs: Flow
-	Ended                // it is over: Flow, OK
-	Over                 // the flow is answered or its client left: Flow, OK: served in time
-	Heard                // what another scheduler holds, all of it: Who, Holds
-	Due                  // the timer asked for by Wake
+	TargetUp       EventKind = iota // a target is listed, or restarted: Target, Hash, MachineKind, AllowedClasses
+	TargetDown                      // a target drains or is gone: Target
+	TargetMeasured                  // new estimates of a target: Target, Slots, Busy, Memory, Slowdown, Cold, UsableFrom
+	FlowQueued                      // a flow has no target yet: Flow, Class, Tenant, Need, Memory, MachineKind, LatestStart
+	AttemptSent                     // an attempt was sent: Flow, Class, Need, Memory, Target
+	AttemptStarted                  // the job of an attempt runs: Flow
+	AttemptEnded                    // an attempt ended: Flow, OK
+	FlowDone                        // the flow has its final response or its client left: Flow, OK if served before its deadline
+	PeerReserved                    // all reservations of another scheduler: Peer, Reservations
+	TimerDue                        // the timer requested by Wake
 )
 
-// Event is one thing that happened. Which fields count depends on Kind.
+// Event is an input of the planner. Its Kind determines which fields are set.
 type Event struct {
-	Kind   Kind
-	Target string
-	Hash   uint32 // of the target's name, the same at every scheduler
-	Sort   string // of machine: the target's, or the one that a flow needs; empty: any
-	Can    string // classes that the target runs, a comma before and behind each; empty: all
-	Slots  float64
-	Busy   float64 // slots taken by anybody, as believed
-	Memory float64 // free at a target (below 0: unknown), or needed by a flow (0: unknown)
-	Slow   float64 // how much longer than the average target it needs
-	Cold   bool
-	Usable float64 // not before
-	Flow   uint64
-	Class  string
-	Tenant string
-	Need   float64 // slots
-	Latest float64 // a start after it is of no use
-	OK     bool
-	Who    int
-	Holds  []Foreign
+	Kind           EventKind
+	Target         string
+	Hash           uint32  // of the target's name, the same at every scheduler
+	MachineKind    string  // kind of the target, or the kind that a flow needs; empty: any
+	AllowedClasses string  // classes that the target runs, with a comma before and after each; empty: all
+	Slots          float64 // of the target
+	Busy           float64 // estimated slots in use by all schedulers
+	Memory         float64 // units free at a target (below 0: unknown), or needed by a flow (0: unknown)
+	Slowdown       float64 // run time at the target relative to the average target
+	Cold           bool    // the target is warming up
+	UsableFrom     float64 // when the target accepts jobs again, ms
+	Flow           uint64
+	Class          string
+	Tenant         string
+	Need           float64 // slots that the flow needs
+	LatestStart    float64 // latest useful start of the flow, ms
+	OK             bool
+	Peer           int // number of another scheduler
+	Reservations   []PeerReservation
 }
 
-// Foreign is room that another scheduler holds.
-type Foreign struct {
+// PeerReservation is a reservation of another scheduler.
+type PeerReservation struct {
 	Target string
 	Slots  float64
-	From   float64 // when it is needed
+	From   float64 // when its flow can start, ms
 }
 
-// ActionKind tells actions apart.
+// ActionKind is the kind of an Action.
 type ActionKind int
 
 // The kinds of actions.
 const (
-	Hold  ActionKind = iota // room is held, or held otherwise: Target, Flow, Spare, Most, Last
-	LetGo                   // no room is held there any more: Target, Flow, Why
-	Wake                    // ask for Due at At
+	Reserve ActionKind = iota // make or change a reservation: Target, Flow, SpareSlots, BackfillSlots, BackfillUntil
+	Release                   // remove the reservation: Target, Flow, Reason
+	Wake                      // request TimerDue at the time At
 )
 
-// Reason says why room was let go.
+// Reason is why a reservation was released.
 type Reason int
 
 // The reasons.
 const (
-	Placed     Reason = iota // its flow began there
-	Elsewhere                // its flow began at another target
-	Answered                 // its flow is answered, or its client left
-	TargetLeft               // the target drains or is gone
-	TargetIll                // it is ejected or turned work away
-	TargetCold               // it turned out cold
-	NoMemory                 // it has slots and no memory
-	Slipped                  // the room would come after the latest useful start
-	TooLong                  // it was held for the longest time
-	Settled                  // another scheduler holds the same room with more right
-	Unheard                  // another scheduler's, which tells of it no more
-	reasons
+	Placed          Reason = iota // its flow was sent to the target
+	Elsewhere                     // its flow was sent to another target
+	Answered                      // its flow has its final response, or the client left
+	TargetLeft                    // the target drains or is gone
+	TargetUnhealthy               // the target is ejected or rejected work
+	TargetCold                    // the target is cold
+	NoMemory                      // the target will have the slots, but not the memory
+	TooLate                       // the slots would be free after the latest useful start
+	Expired                       // it reached the longest duration
+	Superseded                    // a reservation of another scheduler for the same slots takes precedence
+	NotReported                   // it is another scheduler's, which no longer reports it
+	reasonCount
 )
 
-var reasonNames = [reasons]string{"placed", "elsewhere", "answered", "target-left", "target-ill", "target-cold",
+var reasonNames = [reasonCount]string{"placed", "elsewhere", "answered", "target-left", "target-ill", "target-cold",
 	"no-memory", "slipped", "too-long", "settled", "unheard"}
 
+// String returns the name of the reason, as in the log.
 func (r Reason) String() string {
-	if r < 0 || r >= reasons {
+	if r < 0 || r >= reasonCount {
 		return "unknown"
 	}
 	return reasonNames[r]
 }
 
-// Action is one thing that the host must do, in order.
+// Action is an output of the planner. The host must execute actions in order.
 type Action struct {
-	Kind   ActionKind
-	Target string
-	Flow   uint64    // 0: another scheduler's
-	Spare  float64   // a job of so many slots takes nothing of what is held
-	Most   float64   // one of so many ends in time if it is sent
-	Last   []float64 // by class, until then; the planner's own, good until its next step
-	At     float64
-	Why    Reason
+	Kind          ActionKind
+	Target        string
+	Flow          uint64    // 0: a flow of another scheduler
+	SpareSlots    float64   // a job with up to this many slots fits beside the reservation
+	BackfillSlots float64   // a job with up to this many slots may be sent until BackfillUntil
+	BackfillUntil []float64 // by class, ms; owned by the planner, valid until its next step
+	At            float64   // ms
+	Reason        Reason
 }
 
-// Counts is what a planner has done since its start.
+// Counts are the planner's totals since its start.
 type Counts struct {
-	Held, Moved         int // holds begun; of these, as an earlier one of the flow failed
-	LetGo               [reasons]int
-	Gaps, Wrong         int // small jobs sent into a gap, and those that ended too late
-	TooLarge, Untenable int // large flows beyond any target; that no room could serve in time
-	Refused             int // holds not begun as the share or the governor forbade them
-	Bounded             int // flows and targets beyond what the planner keeps
-	SmallOver, SmallHit int // small flows that are over; unserved after they waited beside held room
+	Held, Moved              int              // reservations made; those of them that replaced a failed one of the flow
+	LetGo                    [reasonCount]int // reservations released, by reason
+	Gaps, Wrong              int              // small jobs backfilled before a reservation; those of them that ended too late
+	TooLarge, NoUsefulStart  int              // large flows larger than any target; searches that found no target before the latest start
+	Refused                  int              // reservations rejected because of the shares or the adjusted scale
+	OverLimit                int              // flows and targets beyond the planner's limits
+	SmallDone, SmallUnserved int              // small flows that ended; those of them unserved after they waited beside a reservation
 }
--- a/internal/room/attempts.go
+++ b/internal/room/attempts.go
@@ -4,117 +4,127 @@
 	"slices"
 )
 
-// What attempts tell the planner: their begin, their end, the end of their flow.
+// This file processes the start and end of attempts, and the end of flows.
 
-func (p *Planner) begun(now float64, ev *Event) {
-	f, t := p.flow(now, ev), p.targets[ev.Target]
-	if f == nil || t == nil || f.on != nil {
+// attemptSent records an attempt at a target and releases the reservation of its flow. It also
+// records whether the attempt is backfilled before another reservation there.
+func (p *Planner) attemptSent(now float64, ev *Event) {
+	f, t := p.flowOf(now, ev), p.targets[ev.Target]
+	if f == nil || t == nil || f.target != nil {
 		return
 	}
-	f.besideHold = f.waits && p.anyHeldSince(f.waitFrom)
-	f.waits = false
-	if f.at >= 0 {
-		p.queue.remove(f.at)
+	f.besideReservation = f.queued && p.reservedSince(f.queuedAt)
+	f.queued = false
+	if f.queueIndex >= 0 {
+		p.queue.remove(f.queueIndex)
 	}
-	if h := f.hold; h != nil {
-		why := Elsewhere
-		if h.target == t {
-			why = Placed
+	if r := f.reservation; r != nil {
+		reason := Elsewhere
+		if r.target == t {
+			reason = Placed
 		}
-		p.unhold(now, h, why)
+		p.release(now, r, reason)
 	}
-	f.gapUntil = 0
-	if h := t.hold; h != nil && f.need > h.spare && now <= h.last[f.class] {
-		f.gapUntil = h.from
+	f.backfillEnd = 0
+	if r := t.reservation; r != nil && f.need > r.spareSlots && now <= r.backfillUntil[f.class] {
+		f.backfillEnd = r.neededAt
 		p.Counts.Gaps++
 	}
-	if t.hold != nil {
-		t.hold.told = false // the host reckons with less from now on, and is told anew
+	if t.reservation != nil {
+		t.reservation.notified = false // the host lowers SpareSlots when it sends a job, until it is notified again
 	}
-	f.on, f.ranFrom, f.started = t, now, false
-	t.runs = append(t.runs, f)
-	t.busy += f.need // until it is measured
-	p.touch(now, t)
+	f.target, f.startedAt, f.started = t, now, false
+	t.attempts = append(t.attempts, f)
+	t.busy += f.need // until the next measurement
+	p.markChanged(now, t)
 }
 
-func (p *Planner) ended(now float64, ev *Event) {
+// attemptEnded learns the run time of an attempt, adjusts the quantile if it was backfilled, and
+// frees its slots.
+func (p *Planner) attemptEnded(now float64, ev *Event) {
 	f := p.flows[ev.Flow]
-	if f == nil || f.on == nil {
+	if f == nil || f.target == nil {
 		return
 	}
-	t := f.on
+	t := f.target
 	if ev.OK {
-		p.times.add(f.class, f.size, (now-f.ranFrom)/t.slow)
+		p.runTimes.add(f.class, f.size, (now-f.startedAt)/t.slowdown)
 	}
-	if f.gapUntil > 0 {
-		// The quantile goes up with each wrong guess and down with each right one, so that
-		// the share of wrong ones comes to what the operator allows.
-		if now > f.gapUntil {
+	if f.backfillEnd > 0 {
+		// The quantile rises with each job that ended too late and falls with each other one. So the
+		// share of late ones approaches what the operator allows.
+		if now > f.backfillEnd {
 			p.Counts.Wrong++
-			p.quant += gapGain * p.c.Confidence
+			p.backfillQuantile += quantileGain * p.config.Confidence
 		} else {
-			p.quant -= gapGain * (1 - p.c.Confidence)
+			p.backfillQuantile -= quantileGain * (1 - p.config.Confidence)
 		}
-		p.quant = min(topQuantile, max(0.5, p.quant))
-		f.gapUntil = 0
+		p.backfillQuantile = min(maxQuantile, max(0.5, p.backfillQuantile))
+		f.backfillEnd = 0
 	}
-	t.runs = slices.DeleteFunc(t.runs, func(x *flow) bool { return x == f })
+	t.attempts = slices.DeleteFunc(t.attempts, func(x *flow) bool { return x == f })
 	t.busy = max(0, t.busy-f.need)
-	f.on = nil
-	p.touch(now, t)
-	p.prune(t)
+	f.target = nil
+	p.markChanged(now, t)
+	p.removeUnused(t)
 	if f.done {
-		p.forget(f)
+		p.removeFlow(f)
 	}
 }
 
-func (p *Planner) over(now float64, ev *Event) {
+// flowDone counts the outcome of a flow, adjusts the scale when that is due, and removes the flow
+// unless an attempt of it is still running.
+func (p *Planner) flowDone(now float64, ev *Event) {
 	f := p.flows[ev.Flow]
 	if f == nil {
 		return
 	}
-	k, miss := 0, 0.0
-	if f.trial {
-		k = 1
+	group, unserved := 0, 0.0
+	if f.inTrial {
+		group = 1
 	}
-	if f.unclear {
-		k = 2
+	if f.trialSettling {
+		group = 2
 	}
 	if !ev.OK {
-		miss = 1
+		unserved = 1
 	}
 	if f.large {
-		p.lack[k].add(miss)
+		p.largeUnserved[group].add(unserved)
 	} else {
-		p.miss[k].add(miss)
-		p.Counts.SmallOver++
-		hit := 0.0
-		if !ev.OK && (f.besideHold || f.waits && p.anyHeldSince(f.waitFrom)) {
-			hit = 1
-			p.Counts.SmallHit++
+		p.smallUnserved[group].add(unserved)
+		p.Counts.SmallDone++
+		affected := 0.0
+		if !ev.OK && (f.besideReservation || f.queued && p.reservedSince(f.queuedAt)) {
+			affected = 1
+			p.Counts.SmallUnserved++
 		}
-		p.drop = dropForget*p.drop + (1-dropForget)*hit
-		if now >= p.govern {
-			p.govern = now + governEvery
-			p.governor()
+		p.unservedShare = dropDecay*p.unservedShare + (1-dropDecay)*affected
+		if now >= p.adjustAt {
+			p.adjustAt = now + adjustInterval
+			p.adjustScale()
 		}
 	}
-	if f.at >= 0 {
-		p.queue.remove(f.at)
+	if f.queueIndex >= 0 {
+		p.queue.remove(f.queueIndex)
 	}
-	f.waits = false
-	if f.hold != nil {
-		p.unhold(now, f.hold, Answered)
+	f.queued = false
+	if f.reservation != nil {
+		p.release(now, f.reservation, Answered)
 	}
-	if f.done = true; f.on == nil {
-		p.forget(f)
+	if f.done = true; f.target == nil {
+		p.removeFlow(f)
 	}
 }
 
-func (p *Planner) anyHeldSince(at float64) bool { return len(p.holds) > 0 || p.anyHeld >= at }
+// reservedSince reports whether any slots were reserved at or after the given time.
+func (p *Planner) reservedSince(at float64) bool {
+	return len(p.reservations) > 0 || p.lastReservedAt >= at
+}
 
-// forget gives a flow's place back. One that is over with an attempt out is forgotten at its end.
-func (p *Planner) forget(f *flow) {
+// removeFlow removes a flow and recycles its memory. A flow that is done while an attempt of it runs is
+// removed when the attempt ends.
+func (p *Planner) removeFlow(f *flow) {
 	delete(p.flows, f.id)
-	p.free = append(p.free, f)
+	p.freeFlows = append(p.freeFlows, f)
 }
--- a/internal/room/governor.go
+++ b/internal/room/governor.go
@@ -8,114 +8,121 @@
 	"slices"
 )
 
-// How much may be held, the ticks by which that is judged, and the planner's account.
+// This file adjusts how many slots may be reserved, receives the reservations of other schedulers,
+// processes the timer, and reports the planner's state.
 
-// governor holds less while small flows lose more by it than the operator allows. Those that
-// went unserved after they waited beside held room are the most that it can have cost. Only
-// where that is too much does it look closer: for a part of the time nothing is held, and
-// what goes unserved then would have anyway. Large flows that fare no better with held room
-// than without are a reason to hold less, too.
-func (p *Planner) governor() {
-	if p.drop <= p.c.SmallDrop {
-		p.doubt, p.scale = false, min(1, p.scale+growStep)
+// adjustScale reduces the share of the slots that may be reserved while reservations cost more small
+// flows than the operator allows. The small flows that went unserved after they waited beside a
+// reservation are an upper bound of that cost. Only if that bound is too high does it run trials:
+// during a part of the time nothing is reserved, and flows that go unserved then would have gone
+// unserved anyway. It also reduces the share if large flows fare no better with reservations than
+// without.
+func (p *Planner) adjustScale() {
+	if p.unservedShare <= p.config.SmallDrop {
+		p.trials, p.scale = false, min(1, p.scale+scaleIncrement)
 		return
 	}
-	if !p.doubt {
-		p.doubt, p.miss, p.lack = true, [3]missed{}, [3]missed{}
+	if !p.trials {
+		p.trials, p.smallUnserved, p.largeUnserved = true, [3]decayingShare{}, [3]decayingShare{}
 	}
-	if p.drop > dropMost*p.c.SmallDrop {
-		p.scale = max(leastScale, p.scale*shrinkStep)
+	if p.unservedShare > maxDropRatio*p.config.SmallDrop {
+		p.scale = max(minScale, p.scale*shrinkFactor)
 		return
 	}
-	if p.miss[0].n < missEnough || p.miss[1].n < missEnough {
+	if p.smallUnserved[0].samples < minSmallSamples || p.smallUnserved[1].samples < minSmallSamples {
 		return
 	}
-	cost := p.miss[0].share - p.miss[1].share
-	vain := p.lack[0].n >= lackEnough && p.lack[1].n >= lackEnough && p.lack[0].share >= p.lack[1].share
-	// What is held now shows in what goes unserved a while later, so it turns back early.
-	if cost > 0.6*p.c.SmallDrop || vain {
-		p.scale = max(leastScale, p.scale*shrinkStep)
-	} else if cost < 0.3*p.c.SmallDrop {
-		p.scale = min(1, p.scale+growStep/2)
+	cost := p.smallUnserved[0].share - p.smallUnserved[1].share
+	noBenefit := p.largeUnserved[0].samples >= minLargeSamples && p.largeUnserved[1].samples >= minLargeSamples && p.largeUnserved[0].share >= p.largeUnserved[1].share
+	// Reservations show in the unserved flows only after a delay, so the scale falls well before the
+	// cost reaches the limit.
+	if cost > 0.6*p.config.SmallDrop || noBenefit {
+		p.scale = max(minScale, p.scale*shrinkFactor)
+	} else if cost < 0.3*p.config.SmallDrop {
+		p.scale = min(1, p.scale+scaleIncrement/2)
 	}
 }
 
-// onTrial says whether nothing is held now, so that it shows what held room costs.
-func (p *Planner) onTrial(now float64) bool {
-	return p.doubt && math.Mod(now, trialEvery) < trialFor
+// inTrial reports whether reservations are suspended now to measure their cost.
+func (p *Planner) inTrial(now float64) bool {
+	return p.trials && math.Mod(now, trialPeriod) < trialDuration
 }
 
-// heard takes in all that another scheduler holds now.
-func (p *Planner) heard(now float64, ev *Event) {
-	old := p.foreign[ev.Who]
-	for i := len(old) - 1; i >= 0; i-- {
-		h := old[i]
-		if !slices.ContainsFunc(ev.Holds, func(x Foreign) bool { return x.Target == h.target.id && x.Slots == h.slots }) {
-			p.unhold(now, h, Unheard)
-			old = p.foreign[ev.Who]
+// peerReserved replaces the known reservations of another scheduler by those in the event.
+func (p *Planner) peerReserved(now float64, ev *Event) {
+	previous := p.peerReservations[ev.Peer]
+	for i := len(previous) - 1; i >= 0; i-- {
+		r := previous[i]
+		if !slices.ContainsFunc(ev.Reservations, func(reported PeerReservation) bool {
+			return reported.Target == r.target.id && reported.Slots == r.slots
+		}) {
+			p.release(now, r, NotReported)
+			previous = p.peerReservations[ev.Peer]
 		}
 	}
-	for _, x := range ev.Holds {
-		t := p.targets[x.Target]
+	for _, reported := range ev.Reservations {
+		t := p.targets[reported.Target]
 		if t == nil || !t.up {
 			continue
 		}
-		if i := slices.IndexFunc(t.others, func(h *hold) bool { return h.who == ev.Who }); i >= 0 {
-			h := t.others[i]
-			h.from = x.From
-			if t.hold == h {
-				p.review(now, h)
+		if i := slices.IndexFunc(t.peerReservations, func(r *reservation) bool { return r.scheduler == ev.Peer }); i >= 0 {
+			r := t.peerReservations[i]
+			r.neededAt = reported.From
+			if t.reservation == r {
+				p.review(now, r)
 			}
 			continue
 		}
-		h := &hold{target: t, who: ev.Who, slots: x.Slots, from: x.From, since: now, last: make([]float64, len(p.c.Classes))}
-		t.others = append(t.others, h)
-		p.foreign[ev.Who] = append(p.foreign[ev.Who], h)
-		p.held += h.slots
-		p.settle(now, t)
+		r := &reservation{target: t, scheduler: ev.Peer, slots: reported.Slots, neededAt: reported.From, since: now, backfillUntil: make([]float64, len(p.config.Classes))}
+		t.peerReservations = append(t.peerReservations, r)
+		p.peerReservations[ev.Peer] = append(p.peerReservations[ev.Peer], r)
+		p.reservedSlots += r.slots
+		p.resolve(now, t)
 	}
 }
 
-// tick looks again at what is held and at the large flows that wait, the most urgent first.
+// tick reviews the reservations, and searches a target for the queued large flows without one, the
+// most urgent first.
 func (p *Planner) tick(now float64) {
-	// News of a target has its hold looked at; this is for time that goes by without any.
-	for range min(reviewMost, len(p.holds)) {
-		if len(p.holds) == 0 {
+	// A change at a target triggers a review of its reservation. This covers reservations whose targets
+	// do not change while time passes.
+	for range min(maxReviewsPerTick, len(p.reservations)) {
+		if len(p.reservations) == 0 {
 			break
 		}
-		p.turn = (p.turn + 1) % len(p.holds)
-		p.review(now, p.holds[p.turn])
+		p.nextReview = (p.nextReview + 1) % len(p.reservations)
+		p.review(now, p.reservations[p.nextReview])
 	}
-	var again [4 * tryMost]*flow
+	var requeue [4 * maxSearchesPerTick]*flow
 	n := 0
-	for sought := 0; n < len(again) && len(p.queue.items) > 0 && sought < tryMost; {
+	for searches := 0; n < len(requeue) && len(p.queue.items) > 0 && searches < maxSearchesPerTick; {
 		f := p.queue.remove(0)
-		if now > f.latest || f.moves > maxMoves { // no room can serve it any more
+		if now > f.latestStart || f.reservationCount > maxReservationRetries { // no reservation can serve it any more
 			continue
 		}
-		if f.hold == nil {
-			p.seek(now, f)
-			sought++
+		if f.reservation == nil {
+			p.reserve(now, f)
+			searches++
 		}
-		again[n] = f
+		requeue[n] = f
 		n++
 	}
-	for _, f := range again[:n] {
-		if f.waits && f.at < 0 {
-			p.queue.put(f)
+	for _, f := range requeue[:n] {
+		if f.queued && f.queueIndex < 0 {
+			p.queue.push(f)
 		}
 	}
 }
 
-// inOrder lists the targets in the order of their coming, not of the map: the same events
-// must give the same actions.
-func (p *Planner) inOrder() []*target {
-	return slices.SortedFunc(maps.Values(p.targets), func(a, b *target) int { return cmp.Compare(a.number, b.number) })
+// targetsInOrder returns the targets in the order in which they were first listed. Map order would
+// make the actions differ for the same events.
+func (p *Planner) targetsInOrder() []*target {
+	return slices.SortedFunc(maps.Values(p.targets), func(a, b *target) int { return cmp.Compare(a.order, b.order) })
 }
 
-// Targets names the targets that are up, in the order of their coming.
+// Targets returns the names of the targets that are up, in the order in which they were first listed.
 func (p *Planner) Targets() (ids []string) {
-	for _, t := range p.inOrder() {
+	for _, t := range p.targetsInOrder() {
 		if t.up {
 			ids = append(ids, t.id)
 		}
@@ -123,26 +130,27 @@
 	return ids
 }
 
-// Trials is what share of the small flows went unserved while room was held and, in trials,
-// while none was; doubt says whether the governor makes any.
-func (p *Planner) Trials() (held, without float64, doubt bool) {
-	return p.miss[0].share, p.miss[1].share, p.doubt
+// Trials returns the share of the small flows that went unserved with reservations, and without them
+// during trials. active reports whether trials are being run.
+func (p *Planner) Trials() (withReservations, withoutReservations float64, active bool) {
+	return p.smallUnserved[0].share, p.smallUnserved[1].share, p.trials
 }
 
-// LogValue is the planner's account for the books. docs/ROOM.md explains the words.
+// LogValue returns the planner's counters for the stats in the log. docs/ROOM.md explains the keys.
 func (p *Planner) LogValue() slog.Value {
 	c := &p.Counts
-	held, without, doubt := p.Trials()
-	attrs := []slog.Attr{slog.Int("held", c.Held), slog.Int("moved", c.Moved), slog.Int("now", len(p.holds)), slog.Int("gaps", c.Gaps), slog.Int("wrong", c.Wrong),
-		slog.Int("too_large", c.TooLarge), slog.Int("untenable", c.Untenable), slog.Int("refused", c.Refused), slog.Int("bounded", c.Bounded),
-		slog.Float64("scale", round(p.scale)), slog.Float64("drop", round(p.drop)), slog.Bool("doubt", doubt),
-		slog.Float64("unserved_held", round(held)), slog.Float64("unserved_without", round(without)), slog.Float64("quantile", round(p.quant))}
-	for why, n := range c.LetGo {
+	withReservations, withoutReservations, trialsActive := p.Trials()
+	attrs := []slog.Attr{slog.Int("held", c.Held), slog.Int("moved", c.Moved), slog.Int("now", len(p.reservations)), slog.Int("gaps", c.Gaps), slog.Int("wrong", c.Wrong),
+		slog.Int("too_large", c.TooLarge), slog.Int("untenable", c.NoUsefulStart), slog.Int("refused", c.Refused), slog.Int("bounded", c.OverLimit),
+		slog.Float64("scale", round(p.scale)), slog.Float64("drop", round(p.unservedShare)), slog.Bool("doubt", trialsActive),
+		slog.Float64("unserved_held", round(withReservations)), slog.Float64("unserved_without", round(withoutReservations)), slog.Float64("quantile", round(p.backfillQuantile))}
+	for reason, n := range c.LetGo {
 		if n > 0 {
-			attrs = append(attrs, slog.Int(Reason(why).String(), n))
+			attrs = append(attrs, slog.Int(Reason(reason).String(), n))
 		}
 	}
 	return slog.GroupValue(attrs...)
 }
 
+// round rounds to three decimal places.
 func round(x float64) float64 { return math.Round(1000*x) / 1000 }
--- a/internal/room/holds.go
+++ b/internal/room/holds.go
@@ -5,188 +5,192 @@
 	"slices"
 )
 
-// Holds once they stand: looked at again, told, moved, let go.
+// This file reviews, reports, moves and releases existing reservations.
 
-// review looks at held room anew: whether it still can come in time, and what fits beside it.
-func (p *Planner) review(now float64, h *hold) {
-	t := h.target
-	if f := h.flow; f != nil {
-		why := reasons
+// review checks whether the flow of a reservation can still start there by its latest useful start. If
+// not, it moves the reservation. Otherwise it updates which jobs may run beside it.
+func (p *Planner) review(now float64, r *reservation) {
+	t := r.target
+	if f := r.flow; f != nil {
+		reason := reasonCount
 		switch {
 		case !t.up:
-			why = TargetLeft
+			reason = TargetLeft
 		case t.cold:
-			why = TargetCold
-		case t.usable > f.latest || t.usable > now+1000:
-			why = TargetIll
-		case h.slots > t.slots+slack:
-			why = TargetLeft // it restarted as a smaller one
-		case now-h.since > p.c.Longest:
-			why = TooLong
-		case now > f.latest:
-			why = Slipped
+			reason = TargetCold
+		case t.usableFrom > f.latestStart || t.usableFrom > now+1000:
+			reason = TargetUnhealthy
+		case r.slots > t.slots+slotTolerance:
+			reason = TargetLeft // the target restarted with fewer slots
+		case now-r.since > p.config.Longest:
+			reason = Expired
+		case now > f.latestStart:
+			reason = TooLate
 		}
-		if why == reasons && p.c.Mode != Emptying {
-			at := p.freeAt(now, t, h.slots, h.since)
-			if max(at, t.usable) > f.latest {
-				why = Slipped
+		if reason == reasonCount && p.config.Mode != Emptying {
+			readyAt := p.freeAt(now, t, r.slots, r.since)
+			if max(readyAt, t.usableFrom) > f.latestStart {
+				reason = TooLate
 			}
-			if p.short(f, t, at) {
-				why = NoMemory
+			if p.memoryShort(f, t, readyAt) {
+				reason = NoMemory
 			}
-			h.from = max(at, t.usable, now)
+			r.neededAt = max(readyAt, t.usableFrom, now)
 		}
-		if why != reasons {
-			p.move(now, h, why)
+		if reason != reasonCount {
+			p.move(now, r, reason)
 			return
 		}
 	}
-	p.tell(now, h)
+	p.notifyHost(now, r)
 }
 
-// short says whether memory will be missing at t for f at the given time: what is reported
-// free now, and what those give back that end till then. p.ends must be t's.
-func (p *Planner) short(f *flow, t *target, at float64) bool {
-	if f.mem <= 0 || t.memory < 0 {
+// memoryShort reports whether t will lack memory for f at the given time. It counts the memory that
+// is reported free now and the memory of the jobs that end until then. p.expectedEnds must be that of t.
+func (p *Planner) memoryShort(f *flow, t *target, at float64) bool {
+	if f.memory <= 0 || t.memory < 0 {
 		return false
 	}
 	free := t.memory
-	for _, e := range p.ends {
-		if e.at <= at {
-			free += e.mem
+	for _, job := range p.expectedEnds {
+		if job.at <= at {
+			free += job.memory
 		}
 	}
-	return free < f.mem-shortMemory
+	return free < f.memory-memoryTolerance
 }
 
-// tell gives the host the hold as it is now, if it is another than told before.
-func (p *Planner) tell(now float64, h *hold) {
-	t, spare, most := h.target, 0.0, 0.0
-	if p.c.Mode == Backfill {
+// notifyHost sends the host the current state of a reservation, if it changed since the last
+// notification.
+func (p *Planner) notifyHost(now float64, r *reservation) {
+	t, spareSlots, backfillSlots := r.target, 0.0, 0.0
+	if p.config.Mode == Backfill {
 		free := t.slots - t.busy
-		for _, f := range t.runs {
-			if p.endOf(now, t, f, p.quant) <= h.from {
+		for _, f := range t.attempts {
+			if p.expectedEndOf(now, t, f, p.backfillQuantile) <= r.neededAt {
 				free += f.need
 			}
 		}
-		if others := math.Round(t.busy - t.own()); others > 0 && p.times.all.known {
-			free += math.Floor(others * p.times.all.share((h.from-min(now, h.since))/t.slow))
+		if others := math.Round(t.busy - t.ownSlots()); others > 0 && p.runTimes.all.known {
+			free += math.Floor(others * p.runTimes.all.cumulative((r.neededAt-min(now, r.since))/t.slowdown))
 		}
-		spare = max(0, math.Floor(free-h.slots+slack))
-		most = p.c.Large - slack
-	}
-	same := h.told && h.spare == spare
-	for c := range h.last {
-		last := math.Inf(-1)
-		if p.c.Mode == Backfill {
-			last = h.from - p.longest(c)*t.slow
+		spareSlots = max(0, math.Floor(free-r.slots+slotTolerance))
+		backfillSlots = p.config.Large - slotTolerance
+	}
+	unchanged := r.notified && r.spareSlots == spareSlots
+	for class := range r.backfillUntil {
+		until := math.Inf(-1)
+		if p.config.Mode == Backfill {
+			until = r.neededAt - p.backfillRunTime(class)*t.slowdown
 		}
-		if d := last - h.last[c]; d > 2 || d < -2 {
-			same = false
+		if d := until - r.backfillUntil[class]; d > 2 || d < -2 {
+			unchanged = false
 		}
-		h.last[c] = last
+		r.backfillUntil[class] = until
 	}
-	if same {
+	if unchanged {
 		return
 	}
-	h.told, h.spare = true, spare
-	a := Action{Kind: Hold, Target: t.id, Spare: spare, Most: most, Last: h.last}
-	if h.flow != nil {
-		a.Flow = h.flow.id
+	r.notified, r.spareSlots = true, spareSlots
+	action := Action{Kind: Reserve, Target: t.id, SpareSlots: spareSlots, BackfillSlots: backfillSlots, BackfillUntil: r.backfillUntil}
+	if r.flow != nil {
+		action.Flow = r.flow.id
 	}
-	p.acts = append(p.acts, a)
+	p.actions = append(p.actions, action)
 }
 
-// longest is the running time that a small job of a class stays under with the confidence
-// that gaps need; infinite while nothing is known.
-func (p *Planner) longest(class int) (ms float64) {
-	for i, s := range p.sizes {
-		if i > 0 && s >= p.c.Large {
+// backfillRunTime returns the run time, in ms, that a small job of a class does not exceed with the
+// confidence that backfilling needs. It is infinite until run times are known.
+func (p *Planner) backfillRunTime(class int) (ms float64) {
+	for i, slots := range p.sizes {
+		if i > 0 && slots >= p.config.Large {
 			break
 		}
-		b := p.times.of(class, i)
-		if b == nil {
+		learned := p.runTimes.find(class, i)
+		if learned == nil {
 			return math.Inf(1)
 		}
-		ms = max(ms, b.at(p.quant))
+		ms = max(ms, learned.quantile(p.backfillQuantile))
 	}
 	return ms
 }
 
-// move lets a hold go and seeks room for its flow elsewhere.
-func (p *Planner) move(now float64, h *hold, why Reason) {
-	f := h.flow
-	p.unhold(now, h, why)
-	if why == TooLong {
-		f.moves = maxMoves + 1 // it had its time, wherever it would be now
+// move releases a reservation and searches another target for its flow.
+func (p *Planner) move(now float64, r *reservation, reason Reason) {
+	f := r.flow
+	p.release(now, r, reason)
+	if reason == Expired {
+		f.reservationCount = maxReservationRetries + 1 // the time limit of a reservation applies to its flow, at whichever target
 	}
-	if f != nil && f.waits && f.at >= 0 {
-		p.seek(now, f)
+	if f != nil && f.queued && f.queueIndex >= 0 {
+		p.reserve(now, f)
 	}
 }
 
-// unhold lets a hold go.
-func (p *Planner) unhold(now float64, h *hold, why Reason) {
-	t := h.target
-	p.Counts.LetGo[why]++
-	p.held -= h.slots
-	p.anyHeld = now
-	if f := h.flow; f != nil {
-		f.hold = nil
-		f.tenant.held -= h.slots
-		last := len(p.holds) - 1
-		p.holds[h.at], p.holds[last].at = p.holds[last], h.at
-		p.holds[last] = nil
-		p.holds, t.mine = p.holds[:last], nil
+// release removes a reservation and notifies the host. The next reservation at the target, if any,
+// takes effect.
+func (p *Planner) release(now float64, r *reservation, reason Reason) {
+	t := r.target
+	p.Counts.LetGo[reason]++
+	p.reservedSlots -= r.slots
+	p.lastReservedAt = now
+	if f := r.flow; f != nil {
+		f.reservation = nil
+		f.tenant.reservedSlots -= r.slots
+		last := len(p.reservations) - 1
+		p.reservations[r.index], p.reservations[last].index = p.reservations[last], r.index
+		p.reservations[last] = nil
+		p.reservations, t.ownReservation = p.reservations[:last], nil
 	} else {
-		t.others = slices.DeleteFunc(t.others, func(x *hold) bool { return x == h })
-		p.foreign[h.who] = slices.DeleteFunc(p.foreign[h.who], func(x *hold) bool { return x == h })
-	}
-	if t.hold == h {
-		t.hold = nil
-		a := Action{Kind: LetGo, Target: t.id, Why: why}
-		if h.flow != nil {
-			a.Flow = h.flow.id
+		t.peerReservations = slices.DeleteFunc(t.peerReservations, func(other *reservation) bool { return other == r })
+		p.peerReservations[r.scheduler] = slices.DeleteFunc(p.peerReservations[r.scheduler], func(other *reservation) bool { return other == r })
+	}
+	if t.reservation == r {
+		t.reservation = nil
+		action := Action{Kind: Release, Target: t.id, Reason: reason}
+		if r.flow != nil {
+			action.Flow = r.flow.id
 		}
-		p.acts = append(p.acts, a)
-		if len(t.others) > 0 && t.up {
-			p.settle(now, t)
+		p.actions = append(p.actions, action)
+		if len(t.peerReservations) > 0 && t.up {
+			p.resolve(now, t)
 		}
 	}
-	p.spare = append(p.spare, h)
+	p.freeReservations = append(p.freeReservations, r)
 	if !t.dirty {
 		t.dirty = true
 		p.dirty = append(p.dirty, t)
 	}
-	p.prune(t)
+	p.removeUnused(t)
 }
 
-// right says whether a goes before b at one target: the larger, then by the schedulers'
-// numbers, turned by the target's hash so that no scheduler always gives way. Both
-// schedulers know all of it once they have heard one another, and so agree without a word.
-func (p *Planner) right(a, b *hold) bool {
+// hasPrecedence reports whether a takes precedence over b at one target. The larger reservation does.
+// Ties are broken by the schedulers' numbers, rotated by the target's hash so that no scheduler always
+// loses. Each scheduler knows all of these values once it has received the other's reservation, so both
+// reach the same result without further messages.
+func (p *Planner) hasPrecedence(a, b *reservation) bool {
 	if x, y := math.Ceil(a.slots), math.Ceil(b.slots); x != y {
 		return x > y
 	}
-	n, turn := p.c.Fleet, int(a.target.hash%uint32(p.c.Fleet))
-	return (a.who+turn)%n < (b.who+turn)%n
+	n, offset := p.config.Fleet, int(a.target.hash%uint32(p.config.Fleet))
+	return (a.scheduler+offset)%n < (b.scheduler+offset)%n
 }
 
-// settle puts in force the hold at t that has most right. An own one that has less is let
-// go, and its flow looks elsewhere.
-func (p *Planner) settle(now float64, t *target) {
-	own := t.mine
+// resolve makes the reservation at t with the highest precedence the effective one. An own reservation
+// that loses is released, and another target is searched for its flow.
+func (p *Planner) resolve(now float64, t *target) {
+	own := t.ownReservation
 	best := own
-	for _, h := range t.others {
-		if best == nil || p.right(h, best) {
-			best = h
+	for _, r := range t.peerReservations {
+		if best == nil || p.hasPrecedence(r, best) {
+			best = r
 		}
 	}
-	if t.hold = best; best != nil {
-		best.told = false
+	if t.reservation = best; best != nil {
+		best.notified = false
 		p.review(now, best)
 	}
 	if own != nil && best != own {
-		p.move(now, own, Settled)
+		p.move(now, own, Superseded)
 	}
 }
--- a/internal/room/placing.go
+++ b/internal/room/placing.go
@@ -6,32 +6,34 @@
 	"slices"
 )
 
-// Where and from when room is held for a flow that waits.
+// This file decides at which target, and from when, slots are reserved for a queued flow.
 
-// flow returns the flow of an id, new if need be; nil where the planner keeps no more.
-func (p *Planner) flow(now float64, ev *Event) *flow {
+// flowOf returns the flow of an event and creates it if it is new. It returns nil if the class is
+// unknown or the limit on flows is reached.
+func (p *Planner) flowOf(now float64, ev *Event) *flow {
 	if f := p.flows[ev.Flow]; f != nil {
 		return f
 	}
 	class, ok := p.classes[ev.Class]
 	if !ok || len(p.flows) >= MaxFlows {
-		p.Counts.Bounded++
+		p.Counts.OverLimit++
 		return nil
 	}
 	var f *flow
-	if n := len(p.free); n > 0 {
-		f, p.free = p.free[n-1], p.free[:n-1]
+	if n := len(p.freeFlows); n > 0 {
+		f, p.freeFlows = p.freeFlows[n-1], p.freeFlows[:n-1]
 	} else {
 		f = &flow{}
 	}
-	*f = flow{id: ev.Flow, class: class, need: max(ev.Need, 1), mem: ev.Memory, sort: ev.Sort, at: -1}
-	f.size, f.trial = p.size(f.need), p.onTrial(now)
-	f.unclear = f.trial && math.Mod(now, trialEvery) < trialAfter
-	f.large = f.need >= p.c.Large
+	*f = flow{id: ev.Flow, class: class, need: max(ev.Need, 1), memory: ev.Memory, machineKind: ev.MachineKind, queueIndex: -1}
+	f.size, f.inTrial = p.addSize(f.need), p.inTrial(now)
+	f.trialSettling = f.inTrial && math.Mod(now, trialPeriod) < trialSettleTime
+	f.large = f.need >= p.config.Large
 	p.flows[f.id] = f
 	return f
 }
 
+// tenantOf returns the account of a tenant. Tenants beyond maxTenants share one.
 func (p *Planner) tenantOf(name string) *tenant {
 	t := p.tenants[name]
 	if t == nil {
@@ -47,134 +49,137 @@
 	return t
 }
 
-func (p *Planner) waits(now float64, ev *Event) {
-	f := p.flow(now, ev)
-	if f == nil || f.done || f.on != nil {
-		return // it is over, or not waiting at all
+// flowQueued records a flow that waits for a target, and reserves slots for it if it is large.
+func (p *Planner) flowQueued(now float64, ev *Event) {
+	f := p.flowOf(now, ev)
+	if f == nil || f.done || f.target != nil {
+		return // the flow is done, or an attempt of it is running
 	}
-	f.waits, f.waitFrom, f.latest, f.besideHold = true, now, ev.Latest, false
+	f.queued, f.queuedAt, f.latestStart, f.besideReservation = true, now, ev.LatestStart, false
 	f.tenant = p.tenantOf(ev.Tenant)
 	if !f.large {
 		return
 	}
-	if f.at < 0 {
-		p.queue.put(f)
+	if f.queueIndex < 0 {
+		p.queue.push(f)
 	} else {
-		p.queue.fix(f.at)
+		p.queue.fix(f.queueIndex)
 	}
-	p.seek(now, f)
+	p.reserve(now, f)
 }
 
-// seek holds room for a large flow where it can start earliest, if that is of use to it and
-// the bounds allow it.
-func (p *Planner) seek(now float64, f *flow) {
-	if f.hold != nil || f.moves > maxMoves || now > f.latest {
+// reserve reserves slots for a large flow at the target where it can start first, if that is before
+// its latest useful start and the limits allow it.
+func (p *Planner) reserve(now float64, f *flow) {
+	if f.reservation != nil || f.reservationCount > maxReservationRetries || now > f.latestStart {
 		return
 	}
-	if p.onTrial(now) {
+	if p.inTrial(now) {
 		return
 	}
-	budget := p.c.Share * p.scale * p.slots
-	if p.held == 0 && p.scale >= firstScale { // in a small group, one hold may be more than that
-		budget = p.c.Share * p.slots
+	budget := p.config.Share * p.scale * p.totalSlots
+	if p.reservedSlots == 0 && p.scale >= initialScale { // in a small group, one reservation may exceed the scaled budget
+		budget = p.config.Share * p.totalSlots
 	}
-	if p.held+f.need > budget || f.tenant.held > 0 && f.tenant.held+f.need > p.c.TenantShare*budget {
+	if p.reservedSlots+f.need > budget || f.tenant.reservedSlots > 0 && f.tenant.reservedSlots+f.need > p.config.TenantShare*budget {
 		p.Counts.Refused++
 		return
 	}
-	t, from := p.earliest(now, f)
+	t, neededAt := p.earliestTarget(now, f)
 	if t == nil {
 		return
 	}
-	var h *hold
-	if n := len(p.spare); n > 0 {
-		h, p.spare = p.spare[n-1], p.spare[:n-1]
+	var r *reservation
+	if n := len(p.freeReservations); n > 0 {
+		r, p.freeReservations = p.freeReservations[n-1], p.freeReservations[:n-1]
 	} else {
-		h = &hold{last: make([]float64, len(p.c.Classes))}
-	}
-	*h = hold{target: t, flow: f, who: p.c.Self, slots: f.need, from: from, since: now, last: h.last}
-	f.hold = h
-	f.moves++
-	h.at, t.mine = len(p.holds), h
-	p.holds = append(p.holds, h)
-	p.held += h.slots
-	f.tenant.held += h.slots
-	p.anyHeld = now
+		r = &reservation{backfillUntil: make([]float64, len(p.config.Classes))}
+	}
+	*r = reservation{target: t, flow: f, scheduler: p.config.Self, slots: f.need, neededAt: neededAt, since: now, backfillUntil: r.backfillUntil}
+	f.reservation = r
+	f.reservationCount++
+	r.index, t.ownReservation = len(p.reservations), r
+	p.reservations = append(p.reservations, r)
+	p.reservedSlots += r.slots
+	f.tenant.reservedSlots += r.slots
+	p.lastReservedAt = now
 	p.Counts.Held++
-	if f.moves > 1 {
+	if f.reservationCount > 1 {
 		p.Counts.Moved++
 	}
-	p.settle(now, t)
+	p.resolve(now, t)
 }
 
-// earliest finds the target at which f can start first. Targets stand in a heap by when so
-// many slots are expected to be free; what that says of one is as old as the last news of it,
-// so that it is reckoned anew before it is believed.
-func (p *Planner) earliest(now float64, f *flow) (best *target, from float64) {
+// earliestTarget returns the target at which f can start first, and that time; nil if there is none.
+// The targets are in a heap by the time at which enough slots are expected to be free. That time is as
+// old as the last change at the target, so it is recomputed before it is used.
+func (p *Planner) earliestTarget(now float64, f *flow) (best *target, neededAt float64) {
 	for _, t := range p.dirty {
 		t.dirty = false
-		for i, s := range p.sizes {
-			if s >= p.c.Large {
-				t.ready[i] = p.readyAt(now, t, s)
-				p.ready[i].fix(t.pos[i])
+		for i, slots := range p.sizes {
+			if slots >= p.config.Large {
+				t.readyAt[i] = p.readyAt(now, t, slots)
+				p.byReadyTime[i].fix(t.heapIndex[i])
 			}
 		}
 	}
 	p.dirty = p.dirty[:0]
-	h, need := p.ready[f.size], max(f.need, p.sizes[f.size])
-	p.tried = p.tried[:0]
-	for looks := 0; looks < lookMost && len(h.items) > 0; looks++ {
-		t := h.items[0]
-		if t.ready[f.size] > f.latest {
+	targets, need := p.byReadyTime[f.size], max(f.need, p.sizes[f.size])
+	p.rejected = p.rejected[:0]
+	for checked := 0; checked < maxTargetsChecked && len(targets.items) > 0; checked++ {
+		t := targets.items[0]
+		if t.readyAt[f.size] > f.latestStart {
 			break
 		}
-		if at := p.readyAt(now, t, need); at > t.ready[f.size]+0.5 {
-			t.ready[f.size] = at
-			h.fix(0)
+		if readyAt := p.readyAt(now, t, need); readyAt > t.readyAt[f.size]+0.5 {
+			t.readyAt[f.size] = readyAt
+			targets.fix(0)
 			continue
 		}
-		if p.serves(now, t, f) {
-			best, from = t, max(now, t.ready[f.size])
+		if p.canServe(now, t, f) {
+			best, neededAt = t, max(now, t.readyAt[f.size])
 			break
 		}
-		p.tried = append(p.tried, h.remove(0))
+		p.rejected = append(p.rejected, targets.remove(0))
 	}
-	for _, t := range p.tried {
-		h.put(t)
+	for _, t := range p.rejected {
+		targets.push(t)
 	}
-	if best == nil && len(h.items) > 0 && f.need > p.largest(now) {
+	if best == nil && len(targets.items) > 0 && f.need > p.largestTargetSlots(now) {
 		p.Counts.TooLarge++
-		f.moves = maxMoves + 1
+		f.reservationCount = maxReservationRetries + 1
 	} else if best == nil {
-		p.Counts.Untenable++
+		p.Counts.NoUsefulStart++
 	}
-	return best, from
+	return best, neededAt
 }
 
-// largest is the most slots that any target has, or had a moment ago.
-func (p *Planner) largest(now float64) float64 {
-	if now >= p.widestAt {
-		p.widest, p.widestAt = 0, now+governEvery
+// largestTargetSlots returns the number of slots of the largest target. The value may be up to
+// adjustInterval old.
+func (p *Planner) largestTargetSlots(now float64) float64 {
+	if now >= p.largestExpiresAt {
+		p.largestSlots, p.largestExpiresAt = 0, now+adjustInterval
 		for _, t := range p.targets {
 			if t.up {
-				p.widest = max(p.widest, t.slots+slack)
+				p.largestSlots = max(p.largestSlots, t.slots+slotTolerance)
 			}
 		}
 	}
-	return p.widest
+	return p.largestSlots
 }
 
-// serves says whether f may wait for room at t at all.
-func (p *Planner) serves(now float64, t *target, f *flow) bool {
-	return t.hold == nil && (f.sort == "" || f.sort == t.sort) && t.runsClass(p.c.Classes[f.class]) &&
-		!p.short(f, t, p.readyAt(now, t, f.need))
+// canServe reports whether slots at t may be reserved for f.
+func (p *Planner) canServe(now float64, t *target, f *flow) bool {
+	return t.reservation == nil && (f.machineKind == "" || f.machineKind == t.machineKind) && t.runsClass(p.config.Classes[f.class]) &&
+		!p.memoryShort(f, t, p.readyAt(now, t, f.need))
 }
 
+// runsClass reports whether a target runs jobs of a class.
 func (t *target) runsClass(class string) bool {
-	if t.can == "" {
+	if t.allowedClasses == "" {
 		return true
 	}
-	for rest := t.can; len(rest) > len(class)+1; rest = rest[1:] {
+	for rest := t.allowedClasses; len(rest) > len(class)+1; rest = rest[1:] {
 		if rest[0] == ',' && rest[1:len(class)+1] == class && rest[len(class)+1] == ',' {
 			return true
 		}
@@ -182,62 +187,64 @@
 	return false
 }
 
-// readyAt is when so many slots are expected to be free at t, infinite for a target that
-// takes nothing or is held. It leaves the expected ends in p.ends, the earliest first.
+// readyAt returns when the given number of slots is expected to be free at t. It is infinite for a
+// target that accepts no jobs or has a reservation. It leaves the expected ends in p.expectedEnds, the
+// earliest first.
 func (p *Planner) readyAt(now float64, t *target, slots float64) float64 {
-	p.ends = p.ends[:0]
-	if !t.up || !t.measured || t.cold || t.hold != nil || slots > t.slots+slack || t.usable > now+1000 {
+	p.expectedEnds = p.expectedEnds[:0]
+	if !t.up || !t.measured || t.cold || t.reservation != nil || slots > t.slots+slotTolerance || t.usableFrom > now+1000 {
 		return math.Inf(1)
 	}
-	if p.c.Mode == Emptying { // the emptiest first, whatever it runs
+	if p.config.Mode == Emptying { // the emptiest target first, whatever it runs
 		return now + max(0, t.busy+slots-t.slots)*0.001
 	}
-	return max(p.freeAt(now, t, slots, now), t.usable)
+	return max(p.freeAt(now, t, slots, now), t.usableFrom)
 }
 
-// freeAt reckons when so many slots are free at t. Others' work was there at least since the
-// given time, as far as known.
+// freeAt estimates when the given number of slots is free at t. The work of other schedulers is known to
+// have been there since the given time, at least.
 func (p *Planner) freeAt(now float64, t *target, slots, since float64) float64 {
-	p.ends = p.ends[:0]
-	free, own, mem := t.slots-t.busy, 0.0, 0.0
-	for i, f := range t.runs {
-		own, mem = own+f.need, mem+f.mem
-		if i >= maxRuns {
+	p.expectedEnds = p.expectedEnds[:0]
+	free, ownSlots, ownMemory := t.slots-t.busy, 0.0, 0.0
+	for i, f := range t.attempts {
+		ownSlots, ownMemory = ownSlots+f.need, ownMemory+f.memory
+		if i >= maxRunsPerTarget {
 			continue
 		}
-		p.ends = append(p.ends, end{p.endOf(now, t, f, endQuantile), f.need, f.mem})
+		p.expectedEnds = append(p.expectedEnds, expectedEnd{p.expectedEndOf(now, t, f, endQuantile), f.need, f.memory})
 	}
-	if others := min(math.Round(t.busy-own), maxRuns); others > 0 {
-		// Of others' jobs nothing is known but how many slots they take. Where they are in
-		// their runs is taken as evenly spread.
-		each := 0.0
+	if otherJobs := min(math.Round(t.busy-ownSlots), maxRunsPerTarget); otherJobs > 0 {
+		// Only the number of slots is known of the jobs of other schedulers. Their progress is assumed to
+		// be evenly distributed.
+		memoryEach := 0.0
 		if t.memory >= 0 {
-			each = max(0, t.slots-t.memory-mem) / others
+			memoryEach = max(0, t.slots-t.memory-ownMemory) / otherJobs
 		}
-		for i := 1.0; i <= others; i++ {
-			left := 200.0 * i / (others + 1)
-			if b := p.times.all; b.known {
-				left = b.left(i/(others+1), (now-since)/t.slow) * t.slow
+		for i := 1.0; i <= otherJobs; i++ {
+			remaining := 200.0 * i / (otherJobs + 1)
+			if learned := p.runTimes.all; learned.known {
+				remaining = learned.remaining(i/(otherJobs+1), (now-since)/t.slowdown) * t.slowdown
 			}
-			p.ends = append(p.ends, end{now + left, 1, each})
+			p.expectedEnds = append(p.expectedEnds, expectedEnd{now + remaining, 1, memoryEach})
 		}
 	}
-	if free >= slots-slack {
+	if free >= slots-slotTolerance {
 		return now
 	}
-	slices.SortFunc(p.ends, func(a, b end) int { return cmp.Compare(a.at, b.at) })
-	for _, e := range p.ends {
-		if free += e.slots; free >= slots-slack {
+	slices.SortFunc(p.expectedEnds, func(a, b expectedEnd) int { return cmp.Compare(a.at, b.at) })
+	for _, e := range p.expectedEnds {
+		if free += e.slots; free >= slots-slotTolerance {
 			return e.at
 		}
 	}
 	return math.Inf(1)
 }
 
-// endOf is when the attempt of f at t ends, at a quantile of what is learned.
-func (p *Planner) endOf(now float64, t *target, f *flow, q float64) float64 {
-	if b := p.times.of(f.class, f.size); b != nil {
-		return now + b.left(q, (now-f.ranFrom)/t.slow)*t.slow
+// expectedEndOf returns when the attempt of f at t is expected to end, at a quantile of the learned run
+// times.
+func (p *Planner) expectedEndOf(now float64, t *target, f *flow, quantile float64) float64 {
+	if learned := p.runTimes.find(f.class, f.size); learned != nil {
+		return now + learned.remaining(quantile, (now-f.startedAt)/t.slowdown)*t.slowdown
 	}
-	return now + 200*t.slow
+	return now + 200*t.slowdown
 }
--- a/internal/room/planner.go
+++ b/internal/room/planner.go
@@ -5,209 +5,213 @@
 )
 
 const (
-	tickEvery   = 10.0 // milliseconds, while a large flow waits or room is held
-	tryMost     = 4    // large flows looked at in a tick
-	reviewMost  = 32   // holds looked at in a tick, in turn
-	lookMost    = 8    // targets looked at for one of them
-	endQuantile = 0.6  // of a running time: when a job that runs is expected to end
-	slack       = 0.05 // of a slot may be missing: what is believed of targets is noisy
-	shortMemory = 0.02 // units
-	governEvery = 500.0
-	dropForget  = 0.9993 // of the share of small flows that are unserved for what is held, at each one
-	missForget  = 0.999  // the same of those unserved, with room held and without
-	missEnough  = 200    // small flows before that is believed,
-	lackEnough  = 40     // and large ones
-	firstScale  = 0.3    // of the share that may be held, at the start
-	trialEvery  = 6000   // ms: while the governor doubts, nothing is held for the first part,
-	trialFor    = 800    // of so long,
-	trialAfter  = 300    // and what comes so long after its begin counts for it
-	growStep    = 0.025  // of the governor's scale, in one look
-	dropMost    = 2.0    // times what the operator allows: no trial is needed
-	shrinkStep  = 0.5
-	gapGain     = 0.02 // of the quantile by which gaps are judged, for each wrong guess
-	leastScale  = 0.05
+	tickInterval       = 10.0   // ms between timers, while a large flow is queued or slots are reserved
+	maxSearchesPerTick = 4      // large flows for which a target is searched in a tick
+	maxReviewsPerTick  = 32     // reservations reviewed in a tick, round robin
+	maxTargetsChecked  = 8      // targets checked for one flow
+	endQuantile        = 0.6    // of a run time: when a running job is expected to end
+	slotTolerance      = 0.05   // slots that may be missing, as estimates of targets are noisy
+	memoryTolerance    = 0.02   // memory units that may be missing
+	adjustInterval     = 500.0  // ms between adjustments of the scale
+	dropDecay          = 0.9993 // per small flow, of the share that is unserved because of reservations
+	unservedDecay      = 0.999  // per flow, of the shares that are unserved with and without reservations
+	minSmallSamples    = 200    // small flows before such a share is used
+	minLargeSamples    = 40     // large flows before such a share is used
+	initialScale       = 0.3    // initial scale of the share that may be reserved
+	trialPeriod        = 6000   // ms between the starts of two trials
+	trialDuration      = 800    // ms at the start of each trial period in which nothing is reserved
+	trialSettleTime    = 300    // ms from the start of a trial; flows that arrive in it are not part of the sample
+	scaleIncrement     = 0.025  // added to the scale in one adjustment
+	maxDropRatio       = 2.0    // multiple of SmallDrop from which the scale falls without a trial
+	shrinkFactor       = 0.5    // applied to the scale in one adjustment
+	quantileGain       = 0.02   // step of the backfill quantile for each backfilled job that ended too late
+	minScale           = 0.05   // lower limit of the scale
 )
 
-// flow is a request while it waits, or an attempt of it while it is out.
+// flow is a request while it is queued, or while an attempt of it is running.
 type flow struct {
-	id         uint64
-	class      int
-	size       int // of the learned times
-	tenant     *tenant
-	need, mem  float64
-	latest     float64
-	sort       string
-	large      bool
-	waits      bool
-	waitFrom   float64
-	at         int // in the queue of large flows, or -1
-	hold       *hold
-	moves      int
-	on         *target // while an attempt is out
-	ranFrom    float64 // its start, or its sending while no start is told
-	started    bool
-	gapUntil   float64 // it went into a gap that ends then; 0: it did not
-	besideHold bool    // room was held while it waited for the attempt that is out
-	trial      bool    // it came while nothing was held, for a trial,
-	unclear    bool    // and what had been held may still show
-	done       bool    // it is over, and forgotten once its attempt is
+	id                uint64
+	class             int
+	size              int // index of its number of slots in Planner.sizes
+	tenant            *tenant
+	need, memory      float64
+	latestStart       float64
+	machineKind       string
+	large             bool
+	queued            bool
+	queuedAt          float64
+	queueIndex        int // in the queue of large flows, or -1
+	reservation       *reservation
+	reservationCount  int     // reservations made for it so far
+	target            *target // of the running attempt; nil if none runs
+	startedAt         float64 // when the attempt started, or was sent if no start is reported
+	started           bool
+	backfillEnd       float64 // when the reservation begins before which it was backfilled; 0: it was not
+	besideReservation bool    // slots were reserved while it was queued for the running attempt
+	inTrial           bool    // it arrived during a trial
+	trialSettling     bool    // it arrived so early in a trial that earlier reservations may still affect it
+	done              bool    // it ended, and is removed once its attempt ends
 }
 
-// tenant is one account of held slots.
-type tenant struct{ held float64 }
+// tenant is the account of a tenant's reserved slots.
+type tenant struct{ reservedSlots float64 }
 
-// target is what is known of one.
+// target is the planner's state of a target.
 type target struct {
-	id       string
-	hash     uint32
-	sort     string
-	can      string
-	up       bool
-	measured bool
-	slots    float64
-	busy     float64
-	memory   float64 // free; below 0: unknown
-	slow     float64
-	cold     bool
-	usable   float64
-	runs     []*flow // own attempts out
-	hold     *hold   // in force: own, or another scheduler's
-	mine     *hold   // own, in force or about to give way
-	others   []*hold // those of other schedulers
-	ready    [maxSizes]float64
-	pos      [maxSizes]int
-	dirty    bool
-	number   uint64 // order of arrival, to settle ties
+	id               string
+	hash             uint32
+	machineKind      string
+	allowedClasses   string
+	up               bool
+	measured         bool
+	slots            float64
+	busy             float64
+	memory           float64 // free units; below 0: unknown
+	slowdown         float64
+	cold             bool
+	usableFrom       float64
+	attempts         []*flow           // running attempts of this scheduler
+	reservation      *reservation      // the effective one, of this or another scheduler
+	ownReservation   *reservation      // of this scheduler: effective, or about to be released
+	peerReservations []*reservation    // of other schedulers
+	readyAt          [maxSizes]float64 // by size, when that many slots are expected to be free, ms
+	heapIndex        [maxSizes]int
+	dirty            bool   // changed since readyAt was computed
+	order            uint64 // position in the order of listing, to break ties
 }
 
-// hold is room kept at a target.
-type hold struct {
-	target *target
-	flow   *flow // nil: another scheduler's
-	who    int
-	slots  float64
-	from   float64 // when it is needed
-	since  float64
-	spare  float64
-	last   []float64
-	told   bool // to the host, in this form
-	at     int  // among the own ones
+// reservation is a number of slots reserved at a target for one flow.
+type reservation struct {
+	target        *target
+	flow          *flow // nil: a flow of another scheduler
+	scheduler     int
+	slots         float64
+	neededAt      float64 // when its flow is expected to start, ms
+	since         float64 // ms
+	spareSlots    float64
+	backfillUntil []float64
+	notified      bool // the host knows its current state
+	index         int  // in Planner.reservations
 }
 
-// Planner plans for one scheduler.
+// Planner plans the reservations of one scheduler.
 type Planner struct {
-	c        Config
-	classes  map[string]int
-	times    *book
-	tenants  map[string]*tenant
-	flows    map[uint64]*flow
-	targets  map[string]*target
-	sizes    []float64                // distinct needs of large flows, ascending
-	ready    [maxSizes]*heap[*target] // by when so many slots are free
-	dirty    []*target
-	queue    heap[*flow] // large ones that wait, by their latest start
-	holds    []*hold     // own
-	foreign  map[int][]*hold
-	slots    float64   // of all targets that are up
-	held     float64   // by anybody, as far as told
-	anyHeld  float64   // when room was last held
-	quant    float64   // by which gaps are judged
-	scale    float64   // the governor's: of the share that may be held
-	drop     float64   // share of small flows that are unserved for what is held
-	govern   float64   // when it looks next
-	doubt    bool      // the governor makes trials
-	miss     [3]missed // share of the small flows unserved: with room held, and in trials without
-	lack     [3]missed // the same of the large ones
-	ticking  bool
-	turn     int
-	widest   float64 // slots of the largest target,
-	widestAt float64 // looked for again then
-	number   uint64
-	free     []*flow
-	spare    []*hold
-	ends     []end
-	tried    []*target
-	acts     []Action
+	config           Config
+	classes          map[string]int
+	runTimes         *runTimeTable
+	tenants          map[string]*tenant
+	flows            map[uint64]*flow
+	targets          map[string]*target
+	sizes            []float64                // distinct needs of large flows, ascending
+	byReadyTime      [maxSizes]*heap[*target] // by size, targets ordered by readyAt
+	dirty            []*target                // targets that changed since readyAt was computed
+	queue            heap[*flow]              // queued large flows, by their latest start
+	reservations     []*reservation           // of this scheduler
+	peerReservations map[int][]*reservation   // by scheduler
+	totalSlots       float64                  // of all targets that are up
+	reservedSlots    float64                  // by all schedulers, as far as reported
+	lastReservedAt   float64                  // last time at which any slots were reserved, ms
+	backfillQuantile float64                  // quantile of run times by which jobs are backfilled
+	scale            float64                  // part of the configured share that may be reserved now
+	unservedShare    float64                  // share of the small flows that are unserved because of reservations
+	adjustAt         float64                  // when the scale is adjusted next, ms
+	trials           bool                     // trials without reservations are being run
+	smallUnserved    [3]decayingShare         // share of the small flows unserved: with reservations, in trials, at the start of trials
+	largeUnserved    [3]decayingShare         // the same of the large flows
+	ticking          bool                     // a timer is requested
+	nextReview       int                      // index of the last reservation reviewed in a tick
+	largestSlots     float64                  // slots of the largest target
+	largestExpiresAt float64                  // when largestSlots is computed again, ms
+	lastOrder        uint64
+	freeFlows        []*flow        // recycled
+	freeReservations []*reservation // recycled
+	expectedEnds     []expectedEnd  // of the jobs at the target evaluated last
+	rejected         []*target      // buffer of earliestTarget
+	actions          []Action       // of the current step
 
 	Counts Counts
 }
 
-// missed is a share that forgets.
-type missed struct{ share, n float64 }
+// decayingShare is a share in which older samples lose weight.
+type decayingShare struct{ share, samples float64 }
 
-func (m *missed) add(hit float64) {
-	m.n++
-	m.share += max(1/m.n, 1-missForget) * (hit - m.share)
+func (s *decayingShare) add(value float64) {
+	s.samples++
+	s.share += max(1/s.samples, 1-unservedDecay) * (value - s.share)
 }
 
-type end struct{ at, slots, mem float64 }
+// expectedEnd is when a job is expected to end, with the slots and the memory that it frees.
+type expectedEnd struct{ at, slots, memory float64 }
 
-// New returns a planner, or says which setting is impossible.
+// New returns a planner, or an error that names the invalid setting.
 func New(c Config) (*Planner, error) {
 	if err := c.Check(); err != nil {
 		return nil, err
 	}
-	p := &Planner{c: c, classes: map[string]int{}, times: newBook(len(c.Classes)), tenants: map[string]*tenant{},
-		flows: map[uint64]*flow{}, targets: map[string]*target{}, foreign: map[int][]*hold{},
-		quant: c.Confidence, scale: firstScale, anyHeld: math.Inf(-1)}
+	p := &Planner{config: c, classes: map[string]int{}, runTimes: newRunTimeTable(len(c.Classes)), tenants: map[string]*tenant{},
+		flows: map[uint64]*flow{}, targets: map[string]*target{}, peerReservations: map[int][]*reservation{},
+		backfillQuantile: c.Confidence, scale: initialScale, lastReservedAt: math.Inf(-1)}
 	for i, name := range c.Classes {
 		p.classes[name] = i
 	}
 	p.queue = heap[*flow]{
-		less:  func(a, b *flow) bool { return a.latest < b.latest || a.latest == b.latest && a.id < b.id },
-		place: func(f *flow, at int) { f.at = at }}
+		less: func(a, b *flow) bool {
+			return a.latestStart < b.latestStart || a.latestStart == b.latestStart && a.id < b.id
+		},
+		setIndex: func(f *flow, at int) { f.queueIndex = at }}
 	return p, nil
 }
 
-// Step takes one event at the given time and appends the actions that answer it.
-func (p *Planner) Step(now float64, ev *Event, acts []Action) []Action {
-	p.acts = acts
+// Step processes one event at the given time, appends the resulting actions and returns the slice.
+func (p *Planner) Step(now float64, ev *Event, actions []Action) []Action {
+	p.actions = actions
 	switch ev.Kind {
-	case Up:
+	case TargetUp:
 		p.targetUp(now, ev)
-	case Down:
+	case TargetDown:
 		if t := p.targets[ev.Target]; t != nil {
 			p.targetDown(now, t)
 		}
-	case Measured:
+	case TargetMeasured:
 		p.measured(now, ev)
-	case Waits:
-		p.waits(now, ev)
-	case Begun:
-		p.begun(now, ev)
-	case Started:
-		if f := p.flows[ev.Flow]; f != nil && f.on != nil && !f.started {
-			f.started, f.ranFrom = true, now
-			p.touch(now, f.on)
+	case FlowQueued:
+		p.flowQueued(now, ev)
+	case AttemptSent:
+		p.attemptSent(now, ev)
+	case AttemptStarted:
+		if f := p.flows[ev.Flow]; f != nil && f.target != nil && !f.started {
+			f.started, f.startedAt = true, now
+			p.markChanged(now, f.target)
 		}
-	case Ended:
-		p.ended(now, ev)
-	case Over:
-		p.over(now, ev)
-	case Heard:
-		p.heard(now, ev)
-	case Due:
+	case AttemptEnded:
+		p.attemptEnded(now, ev)
+	case FlowDone:
+		p.flowDone(now, ev)
+	case PeerReserved:
+		p.peerReserved(now, ev)
+	case TimerDue:
 		p.ticking = false
 		p.tick(now)
 	}
-	if !p.ticking && (len(p.queue.items) > 0 || len(p.holds) > 0) {
+	if !p.ticking && (len(p.queue.items) > 0 || len(p.reservations) > 0) {
 		p.ticking = true
-		p.acts = append(p.acts, Action{Kind: Wake, At: now + tickEvery})
+		p.actions = append(p.actions, Action{Kind: Wake, At: now + tickInterval})
 	}
-	acts, p.acts = p.acts, nil
-	return acts
+	actions, p.actions = p.actions, nil
+	return actions
 }
 
-// Own calls yield with each hold of this scheduler and the slots that it has out there besides.
-func (p *Planner) Own(yield func(target string, slots, out, from float64)) {
-	for _, h := range p.holds {
-		yield(h.target.id, h.slots, h.target.own(), h.from)
+// OwnReservations calls yield with each reservation of this scheduler, and with the slots that its
+// running attempts use at the same target.
+func (p *Planner) OwnReservations(yield func(target string, slots, out, from float64)) {
+	for _, r := range p.reservations {
+		yield(r.target.id, r.slots, r.target.ownSlots(), r.neededAt)
 	}
 }
 
-// Scale is the governor's present share of what may be held, and Drop the share of small
-// flows that went unserved beside held room, of late.
-func (p *Planner) Scale() (scale, drop float64) { return p.scale, p.drop }
+// Scale returns the part of the configured share that may be reserved now, and the recent share of the
+// small flows that went unserved beside a reservation.
+func (p *Planner) Scale() (scale, unserved float64) { return p.scale, p.unservedShare }
 
-// Confidence is the quantile by which gaps are judged now.
-func (p *Planner) Confidence() float64 { return p.quant }
+// Confidence returns the current quantile of run times by which jobs are backfilled.
+func (p *Planner) Confidence() float64 { return p.backfillQuantile }
--- a/internal/room/planner_test.go
+++ b/internal/room/planner_test.go
@@ -9,18 +9,20 @@
 	"github.com/stretchr/testify/require"
 )
 
-// host drives a planner on a time of its own and keeps what it holds, as a module would.
-type host struct {
+// testHost drives a planner on a virtual clock and records its reservations, as the decision module would.
+type testHost struct {
 	testing.TB
-	p     *Planner
-	now   float64
-	wake  float64
-	holds map[string]Action
-	why   map[string]Reason
-	next  uint64
+	p              *Planner
+	now            float64
+	wakeAt         float64
+	reservations   map[string]Action
+	releaseReasons map[string]Reason
+	lastID         uint64
 }
 
-func plan(t testing.TB, change func(*Config)) *host {
+// newHost returns a host with two classes whose planner may reserve all slots. change may alter the
+// configuration.
+func newHost(t testing.TB, change func(*Config)) *testHost {
 	c := Default()
 	c.Classes, c.Share, c.TenantShare, c.Fleet = []string{"view", "buy"}, 1, 1, 2
 	if change != nil {
@@ -28,313 +30,314 @@
 	}
 	p, err := New(c)
 	require.NoError(t, err)
-	p.scale = 1 // as after some quiet seconds
-	return &host{TB: t, p: p, now: 1e6, wake: math.Inf(1), holds: map[string]Action{}, why: map[string]Reason{}, next: 1}
+	p.scale = 1 // the value after some seconds without unserved flows
+	return &testHost{TB: t, p: p, now: 1e6, wakeAt: math.Inf(1), reservations: map[string]Action{}, releaseReasons: map[string]Reason{}, lastID: 1}
 }
 
-func (h *host) step(ev Event) {
+func (h *testHost) handle(ev Event) {
 	for _, a := range h.p.Step(h.now, &ev, nil) {
 		switch a.Kind {
-		case Hold:
-			a.Last = append([]float64(nil), a.Last...)
-			h.holds[a.Target] = a
-		case LetGo:
-			delete(h.holds, a.Target)
-			h.why[a.Target] = a.Why
+		case Reserve:
+			a.BackfillUntil = append([]float64(nil), a.BackfillUntil...)
+			h.reservations[a.Target] = a
+		case Release:
+			delete(h.reservations, a.Target)
+			h.releaseReasons[a.Target] = a.Reason
 		case Wake:
-			h.wake = a.At
+			h.wakeAt = a.At
 		}
 	}
 }
 
-func (h *host) elapse(ms float64) {
+// elapse advances the clock by a time in ms and fires the timers that come due.
+func (h *testHost) elapse(ms float64) {
 	for end := h.now + ms; ; {
-		if h.wake > end {
+		if h.wakeAt > end {
 			h.now = end
 			return
 		}
-		h.now, h.wake = h.wake, math.Inf(1)
-		h.step(Event{Kind: Due})
+		h.now, h.wakeAt = h.wakeAt, math.Inf(1)
+		h.handle(Event{Kind: TimerDue})
 	}
 }
 
-// fleet lists so many targets of 4 slots.
-func (h *host) fleet(n int) *host {
+// addTargets lists n targets of 4 slots.
+func (h *testHost) addTargets(n int) *testHost {
 	for i := range n {
 		id := fmt.Sprintf("t%d", i)
-		h.step(Event{Kind: Up, Target: id, Hash: uint32(i)})
+		h.handle(Event{Kind: TargetUp, Target: id, Hash: uint32(i)})
 		h.measure(id, 4, 0)
 	}
 	return h
 }
 
-func (h *host) measure(id string, slots, busy float64) {
-	h.step(Event{Kind: Measured, Target: id, Slots: slots, Busy: busy, Memory: -1, Slow: 1})
+func (h *testHost) measure(id string, slots, busy float64) {
+	h.handle(Event{Kind: TargetMeasured, Target: id, Slots: slots, Busy: busy, Memory: -1, Slowdown: 1})
 }
 
-// begin sends a new small job to a target.
-func (h *host) begin(class, target string, need float64) uint64 {
-	id := h.id()
-	h.step(Event{Kind: Begun, Flow: id, Class: class, Need: need, Target: target})
-	h.step(Event{Kind: Started, Flow: id})
+// start sends a new small job to a target, where it starts at once.
+func (h *testHost) start(class, target string, need float64) uint64 {
+	id := h.nextID()
+	h.handle(Event{Kind: AttemptSent, Flow: id, Class: class, Need: need, Target: target})
+	h.handle(Event{Kind: AttemptStarted, Flow: id})
 	return id
 }
 
-func (h *host) end(id uint64) {
-	h.step(Event{Kind: Ended, Flow: id, OK: true})
-	h.step(Event{Kind: Over, Flow: id, OK: true})
+func (h *testHost) endJob(id uint64) {
+	h.handle(Event{Kind: AttemptEnded, Flow: id, OK: true})
+	h.handle(Event{Kind: FlowDone, Flow: id, OK: true})
 }
 
-func (h *host) id() uint64 { h.next++; return h.next }
+func (h *testHost) nextID() uint64 { h.lastID++; return h.lastID }
 
-// large has a job of 4 slots wait for a start within so many milliseconds.
-func (h *host) large(within float64) uint64 { return h.largeOf("", 4, within) }
+// queueLarge queues a job of 4 slots that must start within the given time in ms.
+func (h *testHost) queueLarge(within float64) uint64 { return h.queueJob("", 4, within) }
 
-func (h *host) largeOf(tenant string, need, within float64) uint64 {
-	id := h.id()
-	h.step(Event{Kind: Waits, Flow: id, Class: "buy", Tenant: tenant, Need: need, Latest: h.now + within})
+func (h *testHost) queueJob(tenant string, need, within float64) uint64 {
+	id := h.nextID()
+	h.handle(Event{Kind: FlowQueued, Flow: id, Class: "buy", Tenant: tenant, Need: need, LatestStart: h.now + within})
 	return id
 }
 
-// teach lets jobs of a class run for the given times, over and over, at a target of their own.
-func (h *host) teach(class string, need float64, times ...float64) {
-	h.step(Event{Kind: Up, Target: "school"})
-	h.measure("school", 4, 0)
-	for range 4 * enough / len(times) {
+// learnRunTimes runs jobs of a class for the given times in ms, repeatedly, at a separate target.
+func (h *testHost) learnRunTimes(class string, need float64, times ...float64) {
+	h.handle(Event{Kind: TargetUp, Target: "training"})
+	h.measure("training", 4, 0)
+	for range 4 * minSamples / len(times) {
 		for _, ms := range times {
-			id := h.begin(class, "school", need)
+			id := h.start(class, "training", need)
 			h.elapse(ms)
-			h.end(id)
+			h.endJob(id)
 		}
 	}
-	h.step(Event{Kind: Down, Target: "school"})
+	h.handle(Event{Kind: TargetDown, Target: "training"})
 }
 
-// full sends four small jobs to each target, a while apart, and returns them.
-func (h *host) full(targets ...string) (ids []uint64) {
+// fillTargets sends four small jobs to each target, with 10 ms between targets, and returns their ids.
+func (h *testHost) fillTargets(targets ...string) (ids []uint64) {
 	for _, id := range targets {
 		for range 4 {
-			ids = append(ids, h.begin("view", id, 1))
+			ids = append(ids, h.start("view", id, 1))
 		}
 		h.elapse(10)
 	}
 	return ids
 }
 
-func TestRoomIsHeldWhereItComesFirst(t *testing.T) {
-	h := plan(t, nil).fleet(2)
-	h.teach("view", 1, 90, 100, 110)
-	h.full("t1", "t0")
-	id := h.large(300)
-	require.Equal(t, id, h.holds["t1"].Flow, "t1's jobs began earlier")
-	require.Len(t, h.holds, 1)
+func TestReservationAtEarliestTarget(t *testing.T) {
+	h := newHost(t, nil).addTargets(2)
+	h.learnRunTimes("view", 1, 90, 100, 110)
+	h.fillTargets("t1", "t0")
+	id := h.queueLarge(300)
+	require.Equal(t, id, h.reservations["t1"].Flow, "the jobs at t1 started earlier")
+	require.Len(t, h.reservations, 1)
 	h.elapse(20)
-	h.step(Event{Kind: Begun, Flow: id, Target: "t1"})
-	require.Empty(t, h.holds)
-	require.Equal(t, Placed, h.why["t1"])
+	h.handle(Event{Kind: AttemptSent, Flow: id, Target: "t1"})
+	require.Empty(t, h.reservations)
+	require.Equal(t, Placed, h.releaseReasons["t1"])
 }
 
-func TestGapsTakeWhatEndsInTime(t *testing.T) {
-	h := plan(t, nil).fleet(1)
-	h.teach("view", 1, 200)
-	h.teach("buy", 1, 20)
-	h.full("t0")
-	h.large(500)
-	a := h.holds["t0"]
-	require.Greater(t, a.Last[1], h.now, "a job of 20 ms ends in time")
-	require.Less(t, a.Last[0], h.now, "one of 200 ms does not")
-	require.Zero(t, a.Spare)
+func TestBackfillTakesJobsThatEndBeforeReservation(t *testing.T) {
+	h := newHost(t, nil).addTargets(1)
+	h.learnRunTimes("view", 1, 200)
+	h.learnRunTimes("buy", 1, 20)
+	h.fillTargets("t0")
+	h.queueLarge(500)
+	a := h.reservations["t0"]
+	require.Greater(t, a.BackfillUntil[1], h.now, "a job of 20 ms ends before the reservation")
+	require.Less(t, a.BackfillUntil[0], h.now, "a job of 200 ms does not")
+	require.Zero(t, a.SpareSlots)
 	for mode, name := range map[Mode]string{NoBackfill: "no backfill", Emptying: "emptying"} {
-		h := plan(t, func(c *Config) { c.Mode = mode }).fleet(1)
-		h.teach("buy", 1, 20)
-		h.full("t0")
-		h.large(500)
-		require.Len(t, h.holds, 1, name)
-		require.Contains(t, h.holds, "t0", "%s", name)
-		require.Less(t, h.holds["t0"].Last[1], h.now, name)
+		h := newHost(t, func(c *Config) { c.Mode = mode }).addTargets(1)
+		h.learnRunTimes("buy", 1, 20)
+		h.fillTargets("t0")
+		h.queueLarge(500)
+		require.Len(t, h.reservations, 1, name)
+		require.Contains(t, h.reservations, "t0", "%s", name)
+		require.Less(t, h.reservations["t0"].BackfillUntil[1], h.now, name)
 	}
 }
 
-func TestWhatFitsBesideMayGo(t *testing.T) {
-	h := plan(t, nil)
-	h.step(Event{Kind: Up, Target: "t0"})
+func TestJobsThatFitBesideReservationAreAllowed(t *testing.T) {
+	h := newHost(t, nil)
+	h.handle(Event{Kind: TargetUp, Target: "t0"})
 	h.measure("t0", 8, 0)
-	h.teach("view", 1, 100)
+	h.learnRunTimes("view", 1, 100)
 	for range 8 {
-		h.begin("view", "t0", 1)
+		h.start("view", "t0", 1)
 	}
 	h.elapse(10)
-	h.largeOf("", 4, 400)
-	require.Equal(t, 4.0, h.holds["t0"].Spare, "all eight end by then, and four are held")
+	h.queueJob("", 4, 400)
+	require.Equal(t, 4.0, h.reservations["t0"].SpareSlots, "all eight jobs end by then, and four slots are reserved")
 }
 
-// A small job that runs ten times its usual time in the gap: it is counted, the next gaps are
-// judged more carefully, and room that would come too late is sought elsewhere or let go.
-func TestWrongGuessesMakeCareful(t *testing.T) {
-	h := plan(t, nil).fleet(1)
-	h.teach("view", 1, 100)
-	h.teach("buy", 1, 20)
-	ids := h.full("t0")
+// Covers a backfilled job that runs ten times its usual time. It is counted, later backfilling needs a
+// higher quantile, and a reservation that would come too late is moved or released.
+func TestLateBackfillRaisesConfidence(t *testing.T) {
+	h := newHost(t, nil).addTargets(1)
+	h.learnRunTimes("view", 1, 100)
+	h.learnRunTimes("buy", 1, 20)
+	ids := h.fillTargets("t0")
 	before := h.p.Confidence()
-	large := h.large(150)
-	h.end(ids[0])
-	gap := h.begin("buy", "t0", 1)
+	large := h.queueLarge(150)
+	h.endJob(ids[0])
+	backfilled := h.start("buy", "t0", 1)
 	require.Equal(t, 1, h.p.Counts.Gaps)
 	h.elapse(80)
 	for _, id := range ids[1:] {
-		h.end(id)
+		h.endJob(id)
 	}
 	h.elapse(70)
-	require.Empty(t, h.holds, "the latest useful start went by")
-	require.Contains(t, []Reason{Slipped}, h.why["t0"])
+	require.Empty(t, h.reservations, "the latest useful start is over")
+	require.Contains(t, []Reason{TooLate}, h.releaseReasons["t0"])
 	h.elapse(50)
-	h.end(gap)
+	h.endJob(backfilled)
 	require.Equal(t, 1, h.p.Counts.Wrong)
 	require.Greater(t, h.p.Confidence(), before)
-	h.step(Event{Kind: Over, Flow: large})
+	h.handle(Event{Kind: FlowDone, Flow: large})
 	for range 200 {
-		h.p.quant -= gapGain * (1 - h.p.c.Confidence) // right guesses make bolder again
+		h.p.backfillQuantile -= quantileGain * (1 - h.p.config.Confidence) // jobs that end before the reservation lower the quantile
 	}
-	require.Less(t, h.p.quant, before)
+	require.Less(t, h.p.backfillQuantile, before)
 }
 
-func TestRoomIsLetGo(t *testing.T) {
+func TestReservationIsReleased(t *testing.T) {
 	for name, c := range map[string]struct {
-		do   func(h *host, id uint64)
-		want Reason
+		event func(h *testHost, id uint64)
+		want  Reason
 	}{
-		"answered":                    {func(h *host, id uint64) { h.step(Event{Kind: Over, Flow: id}) }, Answered},
-		"sent elsewhere":              {func(h *host, id uint64) { h.step(Event{Kind: Begun, Flow: id, Target: "t1"}) }, Elsewhere},
-		"the target drains":           {func(h *host, _ uint64) { h.step(Event{Kind: Down, Target: "t0"}) }, TargetLeft},
-		"the target restarts smaller": {func(h *host, _ uint64) { h.measure("t0", 2, 0) }, TargetLeft},
-		"it is ejected": {func(h *host, _ uint64) {
-			h.step(Event{Kind: Measured, Target: "t0", Slots: 4, Busy: 4, Memory: -1, Slow: 1, Usable: h.now + 5000})
-		}, TargetIll},
-		"it turns out cold": {func(h *host, _ uint64) {
-			h.step(Event{Kind: Measured, Target: "t0", Slots: 4, Busy: 4, Memory: -1, Slow: 1, Cold: true})
+		"final response":              {func(h *testHost, id uint64) { h.handle(Event{Kind: FlowDone, Flow: id}) }, Answered},
+		"sent elsewhere":              {func(h *testHost, id uint64) { h.handle(Event{Kind: AttemptSent, Flow: id, Target: "t1"}) }, Elsewhere},
+		"the target drains":           {func(h *testHost, _ uint64) { h.handle(Event{Kind: TargetDown, Target: "t0"}) }, TargetLeft},
+		"the target restarts smaller": {func(h *testHost, _ uint64) { h.measure("t0", 2, 0) }, TargetLeft},
+		"the target is ejected": {func(h *testHost, _ uint64) {
+			h.handle(Event{Kind: TargetMeasured, Target: "t0", Slots: 4, Busy: 4, Memory: -1, Slowdown: 1, UsableFrom: h.now + 5000})
+		}, TargetUnhealthy},
+		"the target is cold": {func(h *testHost, _ uint64) {
+			h.handle(Event{Kind: TargetMeasured, Target: "t0", Slots: 4, Busy: 4, Memory: -1, Slowdown: 1, Cold: true})
 		}, TargetCold},
-		"the longest time is over":         {func(h *host, _ uint64) { h.p.c.Longest = 50; h.elapse(70) }, TooLong},
-		"all there began anew, and run on": {func(h *host, _ uint64) { h.elapse(90); h.full("t0"); h.elapse(10) }, Slipped},
+		"the longest duration is over": {func(h *testHost, _ uint64) { h.p.config.Longest = 50; h.elapse(70) }, Expired},
+		"all jobs there are replaced":  {func(h *testHost, _ uint64) { h.elapse(90); h.fillTargets("t0"); h.elapse(10) }, TooLate},
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := plan(t, nil).fleet(2)
-			h.teach("view", 1, 100)
-			h.full("t0", "t1")
-			id := h.large(180)
-			require.Equal(t, id, h.holds["t0"].Flow)
-			c.do(h, id)
-			require.NotEqual(t, id, h.holds["t0"].Flow)
-			require.Equal(t, c.want, h.why["t0"])
+			h := newHost(t, nil).addTargets(2)
+			h.learnRunTimes("view", 1, 100)
+			h.fillTargets("t0", "t1")
+			id := h.queueLarge(180)
+			require.Equal(t, id, h.reservations["t0"].Flow)
+			c.event(h, id)
+			require.NotEqual(t, id, h.reservations["t0"].Flow)
+			require.Equal(t, c.want, h.releaseReasons["t0"])
 		})
 	}
 }
 
-// A target that drains while room is held on it: the room moves at the same moment.
-func TestRoomMovesWhenItsTargetDrains(t *testing.T) {
-	h := plan(t, nil).fleet(2)
-	h.teach("view", 1, 100)
-	h.full("t0", "t1")
-	id := h.large(250)
+// When a target drains, its reservation moves to another target within the same step.
+func TestReservationMovesWhenItsTargetDrains(t *testing.T) {
+	h := newHost(t, nil).addTargets(2)
+	h.learnRunTimes("view", 1, 100)
+	h.fillTargets("t0", "t1")
+	id := h.queueLarge(250)
 	at := h.now
-	h.step(Event{Kind: Down, Target: "t0"})
+	h.handle(Event{Kind: TargetDown, Target: "t0"})
 	require.Equal(t, at, h.now)
-	require.Equal(t, id, h.holds["t1"].Flow)
+	require.Equal(t, id, h.reservations["t1"].Flow)
 	require.Equal(t, 1, h.p.Counts.Moved)
 }
 
-// Memory short while slots are free: no room is held where it could not be used, and it is
-// let go where memory runs short.
-func TestMemoryCounts(t *testing.T) {
-	mem := func(h *host, id string, busy, free float64) {
-		h.step(Event{Kind: Measured, Target: id, Slots: 4, Busy: busy, Memory: free, Slow: 1})
+// No slots are reserved at a target without the memory to use them, and a reservation is released when
+// its target runs short of memory.
+func TestReservationNeedsMemory(t *testing.T) {
+	measure := func(h *testHost, id string, busy, free float64) {
+		h.handle(Event{Kind: TargetMeasured, Target: id, Slots: 4, Busy: busy, Memory: free, Slowdown: 1})
 	}
-	h := plan(t, nil).fleet(2)
-	h.teach("view", 1, 100)
-	mem(h, "t0", 1, 0.5) // three slots are free, and next to no memory: the one job holds it
-	mem(h, "t1", 4, 4)
-	wait := func() uint64 {
-		id := h.id()
-		h.step(Event{Kind: Waits, Flow: id, Class: "buy", Need: 3, Memory: 2, Latest: h.now + 300})
+	h := newHost(t, nil).addTargets(2)
+	h.learnRunTimes("view", 1, 100)
+	measure(h, "t0", 1, 0.5) // three slots are free, but almost no memory: the one job uses it
+	measure(h, "t1", 4, 4)
+	queue := func() uint64 {
+		id := h.nextID()
+		h.handle(Event{Kind: FlowQueued, Flow: id, Class: "buy", Need: 3, Memory: 2, LatestStart: h.now + 300})
 		return id
 	}
-	id := wait()
-	require.Equal(t, id, h.holds["t1"].Flow, "t0 has slots and no memory")
-	mem(h, "t1", 0, 1) // nothing runs there that could give any back
-	require.Equal(t, NoMemory, h.why["t1"])
-	require.NotContains(t, h.holds, "t1")
+	id := queue()
+	require.Equal(t, id, h.reservations["t1"].Flow, "t0 has slots but no memory")
+	measure(h, "t1", 0, 1) // no job runs there that could free memory
+	require.Equal(t, NoMemory, h.releaseReasons["t1"])
+	require.NotContains(t, h.reservations, "t1")
 }
 
-func TestNoRoomForWhatCannotUseIt(t *testing.T) {
-	h := plan(t, nil).fleet(3)
-	h.teach("view", 1, 100)
-	h.full("t0", "t1", "t2")
-	h.largeOf("", 8, 300) // larger than any target
-	require.Empty(t, h.holds)
+func TestNoReservationForFlowsThatCannotUseIt(t *testing.T) {
+	h := newHost(t, nil).addTargets(3)
+	h.learnRunTimes("view", 1, 100)
+	h.fillTargets("t0", "t1", "t2")
+	h.queueJob("", 8, 300) // larger than any target
+	require.Empty(t, h.reservations)
 	require.Equal(t, 1, h.p.Counts.TooLarge)
 	h.elapse(100)
-	require.Equal(t, 1, h.p.Counts.TooLarge, "it is not looked for again and again")
-	h.large(20) // no room can come so soon
-	require.Empty(t, h.holds)
-	h.large(-5)
-	require.Empty(t, h.holds)
+	require.Equal(t, 1, h.p.Counts.TooLarge, "the search is not repeated")
+	h.queueLarge(20) // no slots are free that soon
+	require.Empty(t, h.reservations)
+	h.queueLarge(-5)
+	require.Empty(t, h.reservations)
 }
 
-// A flood of large jobs of one tenant leaves the bounds whole, and room for another's.
-func TestBoundsHold(t *testing.T) {
-	h := plan(t, func(c *Config) { c.Share, c.TenantShare = 0.5, 0.5 }).fleet(8)
-	h.teach("view", 1, 100)
-	h.full("t0", "t1", "t2", "t3", "t4", "t5", "t6", "t7")
+// Many large jobs of one tenant do not exceed the limits, and leave slots for another tenant.
+func TestReservationLimits(t *testing.T) {
+	h := newHost(t, func(c *Config) { c.Share, c.TenantShare = 0.5, 0.5 }).addTargets(8)
+	h.learnRunTimes("view", 1, 100)
+	h.fillTargets("t0", "t1", "t2", "t3", "t4", "t5", "t6", "t7")
 	for range 50 {
-		h.largeOf("a", 4, 400)
+		h.queueJob("a", 4, 400)
 	}
-	require.Len(t, h.holds, 2, "a quarter of 32 slots for one tenant")
+	require.Len(t, h.reservations, 2, "a quarter of 32 slots for one tenant")
 	for range 50 {
-		h.largeOf("b", 4, 400)
+		h.queueJob("b", 4, 400)
 	}
-	require.Len(t, h.holds, 4, "half of 32 slots in all")
+	require.Len(t, h.reservations, 4, "half of 32 slots in all")
 	h.elapse(500)
-	require.Empty(t, h.holds)
-	require.Zero(t, h.p.held)
+	require.Empty(t, h.reservations)
+	require.Zero(t, h.p.reservedSlots)
 	for _, x := range h.p.tenants {
-		require.Zero(t, x.held)
+		require.Zero(t, x.reservedSlots)
 	}
 }
 
-// The governor: small flows that go unserved beside held room cost it its share, and get it
-// back when they no longer do.
-func TestGovernor(t *testing.T) {
-	h := plan(t, nil).fleet(4)
+// Small flows that go unserved beside reservations lower the scale. It rises again when they no longer
+// do.
+func TestScaleFollowsCost(t *testing.T) {
+	h := newHost(t, nil).addTargets(4)
 	small := func(ok bool) {
-		id := h.id()
-		h.step(Event{Kind: Waits, Flow: id, Class: "view", Need: 1, Latest: h.now + 100})
-		h.step(Event{Kind: Over, Flow: id, OK: ok})
+		id := h.nextID()
+		h.handle(Event{Kind: FlowQueued, Flow: id, Class: "view", Need: 1, LatestStart: h.now + 100})
+		h.handle(Event{Kind: FlowDone, Flow: id, OK: ok})
 		h.elapse(5)
 	}
 	for range 500 {
 		small(false)
 	}
 	scale, _ := h.p.Scale()
-	require.Equal(t, 1.0, scale, "nothing was held: it is not to blame")
-	h.teach("view", 1, 100)
+	require.Equal(t, 1.0, scale, "nothing was reserved, so reservations are not the cause")
+	h.learnRunTimes("view", 1, 100)
 	var ids []uint64
-	busy := func(n int) { // the targets run jobs of the usual length, and large ones wait for room
+	queueLargeJob := func(n int) { // the targets run jobs of the usual length, and large jobs are queued
 		if n%10 == 0 {
 			for _, id := range ids {
-				h.end(id)
+				h.endJob(id)
 			}
-			ids = h.full("t0", "t1", "t2", "t3")
+			ids = h.fillTargets("t0", "t1", "t2", "t3")
 		}
-		h.large(200)
+		h.queueLarge(200)
 	}
-	for n := range 3000 { // every second one goes unserved, but in trials
-		busy(n)
-		small(h.p.onTrial(h.now) || n%2 > 0)
+	for n := range 3000 { // outside of trials, every second one goes unserved
+		queueLargeJob(n)
+		small(h.p.inTrial(h.now) || n%2 > 0)
 	}
 	scale, _ = h.p.Scale()
 	require.Less(t, scale, 0.3)
-	// A few go unserved in trials as well, and would have done so anyway: it comes back.
+	// A few go unserved in trials as well, and would have done so anyway, so the scale rises.
 	for n := range 9000 {
-		busy(n)
+		queueLargeJob(n)
 		small(n%33 > 0)
 	}
 	scale, _ = h.p.Scale()
@@ -346,51 +349,52 @@
 	require.Equal(t, 1.0, scale)
 }
 
-// Two schedulers that pick the same room settle it the same way, whoever hears first and
-// without a further word; what a scheduler no longer tells of is let go.
-func TestTwoSettleTheSameRoom(t *testing.T) {
+// Two schedulers that reserve the same slots resolve the conflict in the same way, whichever receives
+// the other's reservation first, and without further messages. A reservation that a scheduler no longer
+// reports is released.
+func TestSchedulersResolveConflictingReservations(t *testing.T) {
 	for hash := range uint32(4) {
-		var hs [2]*host
-		for self := range hs {
-			h := plan(t, func(c *Config) { c.Self = self })
-			h.step(Event{Kind: Up, Target: "t", Hash: hash})
+		var hosts [2]*testHost
+		for self := range hosts {
+			h := newHost(t, func(c *Config) { c.Self = self })
+			h.handle(Event{Kind: TargetUp, Target: "t", Hash: hash})
 			h.measure("t", 4, 0)
-			h.teach("view", 1, 100)
+			h.learnRunTimes("view", 1, 100)
 			for range 4 {
-				h.begin("view", "t", 1)
+				h.start("view", "t", 1)
 			}
-			h.large(250)
-			require.Len(t, h.holds, 1)
-			hs[self] = h
+			h.queueLarge(250)
+			require.Len(t, h.reservations, 1)
+			hosts[self] = h
 		}
-		for self, h := range hs {
-			h.step(Event{Kind: Heard, Who: 1 - self, Holds: []Foreign{{Target: "t", Slots: 4, From: h.now + 90}}})
+		for self, h := range hosts {
+			h.handle(Event{Kind: PeerReserved, Peer: 1 - self, Reservations: []PeerReservation{{Target: "t", Slots: 4, From: h.now + 90}}})
 		}
 		own := 0
-		for _, h := range hs {
-			require.Len(t, h.holds, 1, "either way it is held")
-			if h.holds["t"].Flow != 0 {
+		for _, h := range hosts {
+			require.Len(t, h.reservations, 1, "the slots are reserved in either case")
+			if h.reservations["t"].Flow != 0 {
 				own++
 			}
 		}
-		require.Equal(t, 1, own, "exactly one of them keeps it")
-		for self, h := range hs {
-			flow := h.holds["t"].Flow
-			h.step(Event{Kind: Heard, Who: 1 - self})
-			require.Equal(t, flow != 0, len(h.holds) == 1, "the other's is over when it tells of none")
+		require.Equal(t, 1, own, "exactly one of them keeps its reservation")
+		for self, h := range hosts {
+			flow := h.reservations["t"].Flow
+			h.handle(Event{Kind: PeerReserved, Peer: 1 - self})
+			require.Equal(t, flow != 0, len(h.reservations) == 1, "the other's reservation ends when it reports none")
 		}
 	}
-	// The larger one goes first, whoever holds it.
-	h := plan(t, nil).fleet(1)
-	h.teach("view", 1, 100)
-	h.full("t0")
-	h.largeOf("", 2, 250)
-	h.step(Event{Kind: Heard, Who: 1, Holds: []Foreign{{Target: "t0", Slots: 4, From: h.now + 90}}})
-	require.Zero(t, h.holds["t0"].Flow)
-	require.Equal(t, 1, h.p.Counts.LetGo[Settled])
+	// The larger reservation takes precedence, whichever scheduler it belongs to.
+	h := newHost(t, nil).addTargets(1)
+	h.learnRunTimes("view", 1, 100)
+	h.fillTargets("t0")
+	h.queueJob("", 2, 250)
+	h.handle(Event{Kind: PeerReserved, Peer: 1, Reservations: []PeerReservation{{Target: "t0", Slots: 4, From: h.now + 90}}})
+	require.Zero(t, h.reservations["t0"].Flow)
+	require.Equal(t, 1, h.p.Counts.LetGo[Superseded])
 }
 
-func TestImpossibleSettings(t *testing.T) {
+func TestInvalidSettings(t *testing.T) {
 	for want, change := range map[string]func(*Config){
 		"room.large":      func(c *Config) { c.Large = 0 },
 		"room.share":      func(c *Config) { c.Share = 1.1 },
@@ -408,105 +412,106 @@
 	}
 }
 
-// Arbitrary events, sensible or not: bounds hold after each, and nothing is left at the end.
-func TestInvariantsHold(t *testing.T) {
+// Applies arbitrary events, valid or not. The invariants hold after each, and no state is left at the end.
+func TestInvariants(t *testing.T) {
 	for seed := range uint64(150) {
 		rng := rand.New(rand.NewPCG(seed, 7))
-		h := plan(t, func(c *Config) { c.Mode, c.TenantShare = Mode(seed%3), 0.6 }).fleet(6)
+		h := newHost(t, func(c *Config) { c.Mode, c.TenantShare = Mode(seed%3), 0.6 }).addTargets(6)
 		for range 600 {
 			id, target := uint64(rng.IntN(60)), fmt.Sprintf("t%d", rng.IntN(8))
 			switch n := rng.IntN(100); {
 			case n < 25:
-				h.step(Event{Kind: Waits, Flow: id, Class: []string{"view", "buy", "odd"}[rng.IntN(3)], Tenant: fmt.Sprint(rng.IntN(3)),
-					Need: float64(int(1) << rng.IntN(4)), Memory: rng.Float64() * 4, Latest: h.now + rng.Float64()*400 - 50})
+				h.handle(Event{Kind: FlowQueued, Flow: id, Class: []string{"view", "buy", "odd"}[rng.IntN(3)], Tenant: fmt.Sprint(rng.IntN(3)),
+					Need: float64(int(1) << rng.IntN(4)), Memory: rng.Float64() * 4, LatestStart: h.now + rng.Float64()*400 - 50})
 			case n < 45:
-				h.step(Event{Kind: Begun, Flow: id, Class: "view", Need: 1, Target: target})
+				h.handle(Event{Kind: AttemptSent, Flow: id, Class: "view", Need: 1, Target: target})
 			case n < 55:
-				h.step(Event{Kind: Started, Flow: id})
+				h.handle(Event{Kind: AttemptStarted, Flow: id})
 			case n < 70:
-				h.step(Event{Kind: Ended, Flow: id, OK: rng.IntN(4) > 0})
+				h.handle(Event{Kind: AttemptEnded, Flow: id, OK: rng.IntN(4) > 0})
 			case n < 80:
-				h.step(Event{Kind: Over, Flow: id, OK: rng.IntN(2) == 0})
+				h.handle(Event{Kind: FlowDone, Flow: id, OK: rng.IntN(2) == 0})
 			case n < 84:
-				h.step(Event{Kind: Up, Target: target, Hash: rng.Uint32()})
+				h.handle(Event{Kind: TargetUp, Target: target, Hash: rng.Uint32()})
 			case n < 87:
-				h.step(Event{Kind: Down, Target: target})
+				h.handle(Event{Kind: TargetDown, Target: target})
 			case n < 93:
-				h.step(Event{Kind: Measured, Target: target, Slots: float64(rng.IntN(8)), Busy: rng.Float64() * 6, Memory: rng.Float64()*6 - 1,
-					Slow: rng.Float64() * 2, Cold: rng.IntN(8) == 0, Usable: h.now + float64(rng.IntN(3)-1)*700})
+				h.handle(Event{Kind: TargetMeasured, Target: target, Slots: float64(rng.IntN(8)), Busy: rng.Float64() * 6, Memory: rng.Float64()*6 - 1,
+					Slowdown: rng.Float64() * 2, Cold: rng.IntN(8) == 0, UsableFrom: h.now + float64(rng.IntN(3)-1)*700})
 			case n < 97:
-				var holds []Foreign
+				var reservations []PeerReservation
 				for i := range rng.IntN(3) {
-					holds = append(holds, Foreign{fmt.Sprintf("t%d", (rng.IntN(4)*2+i)%8), float64(1 + rng.IntN(4)), h.now + 100})
+					reservations = append(reservations, PeerReservation{fmt.Sprintf("t%d", (rng.IntN(4)*2+i)%8), float64(1 + rng.IntN(4)), h.now + 100})
 				}
-				h.step(Event{Kind: Heard, Who: 1 + rng.IntN(2), Holds: holds})
+				h.handle(Event{Kind: PeerReserved, Peer: 1 + rng.IntN(2), Reservations: reservations})
 			default:
 				h.elapse(rng.Float64() * 60)
 			}
-			h.check(seed)
+			h.checkInvariants(seed)
 		}
 		for id := range uint64(60) {
-			h.step(Event{Kind: Ended, Flow: id})
-			h.step(Event{Kind: Over, Flow: id})
+			h.handle(Event{Kind: AttemptEnded, Flow: id})
+			h.handle(Event{Kind: FlowDone, Flow: id})
 		}
 		for who := range 3 {
-			h.step(Event{Kind: Heard, Who: who})
+			h.handle(Event{Kind: PeerReserved, Peer: who})
 		}
 		for i := range 8 {
-			h.step(Event{Kind: Down, Target: fmt.Sprintf("t%d", i)})
+			h.handle(Event{Kind: TargetDown, Target: fmt.Sprintf("t%d", i)})
 		}
 		require.Empty(t, h.p.flows, "seed %d", seed)
 		require.Empty(t, h.p.targets, "seed %d", seed)
-		require.Empty(t, h.holds, "seed %d", seed)
-		require.InDelta(t, 0, h.p.held, 1e-6, "seed %d", seed)
+		require.Empty(t, h.reservations, "seed %d", seed)
+		require.InDelta(t, 0, h.p.reservedSlots, 1e-6, "seed %d", seed)
 	}
 }
 
-func (h *host) check(seed uint64) {
-	sum, own := 0.0, 0
+// checkInvariants compares the planner's state with what the host was notified of.
+func (h *testHost) checkInvariants(seed uint64) {
+	slots, own := 0.0, 0
 	for _, t := range h.p.targets {
-		a, told := h.holds[t.id]
-		require.Equal(h, t.hold != nil, told, "seed %d: the host knows of all that is held, and of no more: %s", seed, t.id)
-		if t.hold != nil {
-			if f := t.hold.flow; f != nil {
+		a, notified := h.reservations[t.id]
+		require.Equal(h, t.reservation != nil, notified, "seed %d: the host has exactly the planner's reservations: %s", seed, t.id)
+		if t.reservation != nil {
+			if f := t.reservation.flow; f != nil {
 				own++
-				require.True(h, t.up && !t.cold && f.waits && f.hold == t.hold && a.Flow == f.id, "seed %d: held at %s", seed, t.id)
+				require.True(h, t.up && !t.cold && f.queued && f.reservation == t.reservation && a.Flow == f.id, "seed %d: reservation at %s", seed, t.id)
 			} else {
 				require.Zero(h, a.Flow)
 			}
 		}
-		for _, x := range t.others {
-			sum += x.slots
+		for _, other := range t.peerReservations {
+			slots += other.slots
 		}
 	}
-	for _, x := range h.p.holds {
-		sum += x.slots
+	for _, other := range h.p.reservations {
+		slots += other.slots
 	}
-	require.Equal(h, own, len(h.p.holds), "seed %d", seed)
-	require.InDelta(h, sum, h.p.held, 1e-6, "seed %d", seed)
+	require.Equal(h, own, len(h.p.reservations), "seed %d", seed)
+	require.InDelta(h, slots, h.p.reservedSlots, 1e-6, "seed %d", seed)
 	for _, f := range h.p.queue.items {
-		require.True(h, f.waits && f.large, "seed %d", seed)
+		require.True(h, f.queued && f.large, "seed %d", seed)
 	}
 }
 
-func TestSameEventsSameActions(t *testing.T) {
+func TestSameEventsGiveSameActions(t *testing.T) {
 	play := func() string {
-		h := plan(t, nil).fleet(12)
-		h.teach("view", 1, 50, 100, 150)
+		h := newHost(t, nil).addTargets(12)
+		h.learnRunTimes("view", 1, 50, 100, 150)
 		rng := rand.New(rand.NewPCG(1, 2))
 		out := ""
 		var ids []uint64
 		for i := range 400 {
-			ids = append(ids, h.begin("view", fmt.Sprintf("t%d", rng.IntN(12)), 1))
+			ids = append(ids, h.start("view", fmt.Sprintf("t%d", rng.IntN(12)), 1))
 			if i%5 == 0 {
-				h.large(200)
+				h.queueLarge(200)
 			}
 			if len(ids) > 40 {
-				h.end(ids[0])
+				h.endJob(ids[0])
 				ids = ids[1:]
 			}
 			h.elapse(3)
-			out += fmt.Sprint(h.holds)
+			out += fmt.Sprint(h.reservations)
 		}
 		return out
 	}
--- a/internal/room/targets.go
+++ b/internal/room/targets.go
@@ -5,57 +5,60 @@
 	"slices"
 )
 
-// Targets as the planner knows them: their size, what runs there, and which sizes of job they take.
+// This file maintains the planner's targets: their slots, the attempts there, and the distinct sizes of
+// jobs.
 
+// targetUp adds a listed target, or updates it.
 func (p *Planner) targetUp(now float64, ev *Event) {
 	t := p.targets[ev.Target]
 	if t == nil {
 		if len(p.targets) >= MaxTargets {
-			p.Counts.Bounded++
+			p.Counts.OverLimit++
 			return
 		}
-		p.number++
-		t = &target{id: ev.Target, number: p.number, memory: -1, slow: 1}
+		p.lastOrder++
+		t = &target{id: ev.Target, order: p.lastOrder, memory: -1, slowdown: 1}
 		p.targets[t.id] = t
-		for i := range t.pos {
-			t.pos[i], t.ready[i] = -1, math.Inf(1)
+		for i := range t.heapIndex {
+			t.heapIndex[i], t.readyAt[i] = -1, math.Inf(1)
 			if i < len(p.sizes) {
-				p.ready[i].put(t)
+				p.byReadyTime[i].push(t)
 			}
 		}
 	}
-	t.hash, t.sort, t.can = ev.Hash, ev.Sort, ev.Can
+	t.hash, t.machineKind, t.allowedClasses = ev.Hash, ev.MachineKind, ev.AllowedClasses
 	if !t.up {
 		t.up = true
-		p.slots += t.slots
+		p.totalSlots += t.slots
 	}
-	p.touch(now, t)
+	p.markChanged(now, t)
 }
 
+// targetDown moves the reservations away from a target that accepts no more jobs.
 func (p *Planner) targetDown(now float64, t *target) {
 	if !t.up {
 		return
 	}
 	t.up = false
-	p.slots -= t.slots
-	for len(t.others) > 0 {
-		p.unhold(now, t.others[0], TargetLeft)
+	p.totalSlots -= t.slots
+	for len(t.peerReservations) > 0 {
+		p.release(now, t.peerReservations[0], TargetLeft)
 	}
-	if h := t.hold; h != nil {
-		p.move(now, h, TargetLeft)
+	if r := t.reservation; r != nil {
+		p.move(now, r, TargetLeft)
 	}
-	p.touch(now, t)
-	p.prune(t)
+	p.markChanged(now, t)
+	p.removeUnused(t)
 }
 
-// prune forgets a target that is neither up nor has work of ours.
-func (p *Planner) prune(t *target) {
-	if t.up || len(t.runs) > 0 || t.hold != nil {
+// removeUnused removes a target that is not up and has no attempts of this scheduler.
+func (p *Planner) removeUnused(t *target) {
+	if t.up || len(t.attempts) > 0 || t.reservation != nil {
 		return
 	}
 	for i := range p.sizes {
-		if t.pos[i] >= 0 {
-			p.ready[i].remove(t.pos[i])
+		if t.heapIndex[i] >= 0 {
+			p.byReadyTime[i].remove(t.heapIndex[i])
 		}
 	}
 	if t.dirty {
@@ -64,42 +67,45 @@
 	delete(p.targets, t.id)
 }
 
+// measured updates the estimates of a target.
 func (p *Planner) measured(now float64, ev *Event) {
 	t := p.targets[ev.Target]
 	if t == nil {
 		return
 	}
 	if t.up {
-		p.slots += ev.Slots - t.slots
+		p.totalSlots += ev.Slots - t.slots
 	}
-	t.slots, t.busy, t.slow, t.cold, t.usable = ev.Slots, ev.Busy, max(ev.Slow, 0.01), ev.Cold, ev.Usable
+	t.slots, t.busy, t.slowdown, t.cold, t.usableFrom = ev.Slots, ev.Busy, max(ev.Slowdown, 0.01), ev.Cold, ev.UsableFrom
 	if ev.Memory >= 0 {
 		t.memory = ev.Memory
 	}
 	t.measured = true
-	p.widest = max(p.widest, t.slots+slack)
-	p.touch(now, t)
+	p.largestSlots = max(p.largestSlots, t.slots+slotTolerance)
+	p.markChanged(now, t)
 }
 
-// touch notes that something is new at a target, and looks at what is held there at once.
-func (p *Planner) touch(now float64, t *target) {
+// markChanged marks a target as changed and reviews its reservation.
+func (p *Planner) markChanged(now float64, t *target) {
 	if !t.dirty {
 		t.dirty = true
 		p.dirty = append(p.dirty, t)
 	}
-	if t.hold != nil {
-		p.review(now, t.hold)
+	if t.reservation != nil {
+		p.review(now, t.reservation)
 	}
 }
 
-func (t *target) own() (slots float64) {
-	for _, f := range t.runs {
+// ownSlots returns the slots that the attempts of this scheduler use.
+func (t *target) ownSlots() (slots float64) {
+	for _, f := range t.attempts {
 		slots += f.need
 	}
 	return slots
 }
 
-func (p *Planner) sizeOf(need float64) int {
+// sizeIndex returns the index in p.sizes for a number of slots, or -1 if it is new and can be added.
+func (p *Planner) sizeIndex(need float64) int {
 	i, ok := slices.BinarySearch(p.sizes, need)
 	switch {
 	case ok:
@@ -110,40 +116,40 @@
 	return min(i, maxSizes-1)
 }
 
-// size returns the place of a number of slots among those that are told apart, and makes
-// one while there is room. As places move, the targets' heaps are made anew: six times at most.
-func (p *Planner) size(need float64) int {
-	if i := p.sizeOf(need); i >= 0 {
+// addSize returns the index in p.sizes for a number of slots. It adds a new number if there are fewer
+// than maxSizes. As that shifts indexes, it rebuilds the targets' heaps, which happens at most six times.
+func (p *Planner) addSize(need float64) int {
+	if i := p.sizeIndex(need); i >= 0 {
 		return i
 	}
 	p.sizes = append(p.sizes, need)
 	slices.Sort(p.sizes)
-	at, _ := slices.BinarySearch(p.sizes, need)
+	index, _ := slices.BinarySearch(p.sizes, need)
 	for _, f := range p.flows {
-		if f.size >= at {
+		if f.size >= index {
 			f.size++
 		}
 	}
-	for c := range p.times.by {
-		copy(p.times.by[c][at+1:], p.times.by[c][at:])
-		p.times.by[c][at] = nil
+	for class := range p.runTimes.byClass {
+		copy(p.runTimes.byClass[class][index+1:], p.runTimes.byClass[class][index:])
+		p.runTimes.byClass[class][index] = nil
 	}
-	clear(p.ready[:])
+	clear(p.byReadyTime[:])
 	for i := range p.sizes {
-		p.ready[i] = &heap[*target]{
+		p.byReadyTime[i] = &heap[*target]{
 			less: func(a, b *target) bool {
-				return a.ready[i] < b.ready[i] || a.ready[i] == b.ready[i] && a.number < b.number
+				return a.readyAt[i] < b.readyAt[i] || a.readyAt[i] == b.readyAt[i] && a.order < b.order
 			},
-			place: func(t *target, at int) { t.pos[i] = at }}
+			setIndex: func(t *target, position int) { t.heapIndex[i] = position }}
 	}
 	p.dirty = p.dirty[:0]
-	for _, t := range p.inOrder() {
+	for _, t := range p.targetsInOrder() {
 		for i := range p.sizes {
-			t.ready[i] = math.Inf(1)
-			p.ready[i].put(t)
+			t.readyAt[i] = math.Inf(1)
+			p.byReadyTime[i].push(t)
 		}
 		t.dirty = true
 		p.dirty = append(p.dirty, t)
 	}
-	return at
+	return index
 }
--- a/internal/room/times.go
+++ b/internal/room/times.go
@@ -7,61 +7,65 @@
 )
 
 const (
-	points      = 33      // of a table of quantiles
-	topQuantile = 0.995   // the last one
-	unit        = 0.1     // milliseconds
-	longestRun  = 600_000 // in units; longer ones count as this
-	enough      = 20      // samples before a table is believed
-	perWindow   = 512     // samples; older ones than two windows are forgotten
+	quantilePoints   = 33      // points of a table of quantiles
+	maxQuantile      = 0.995   // quantile of the last point
+	histogramUnit    = 0.1     // ms
+	maxRunTime       = 600_000 // in histogram units; longer run times count as this
+	minSamples       = 20      // before a table is used
+	samplesPerWindow = 512     // samples older than two windows are discarded
 )
 
-// times learns how long jobs run, at a target of average speed: a streaming histogram from
-// which a table of quantiles is read now and then, as reading one is dear and asked for often.
-type times struct {
-	h     *hdrhistogram.WindowedHistogram
-	n     int
-	table [points]float64 // milliseconds, at the quantiles 0 to topQuantile
-	known bool
+// runTimes learns how long jobs run at a target of average speed. It has a streaming histogram and a
+// table of its quantiles. The table is refreshed periodically, as quantiles are needed often and
+// computing one from the histogram is expensive.
+type runTimes struct {
+	histogram *hdrhistogram.WindowedHistogram
+	samples   int
+	table     [quantilePoints]float64 // ms, at the quantiles 0 to maxQuantile
+	known     bool                    // the table has enough samples
 }
 
-func newTimes() *times { return &times{h: hdrhistogram.NewWindowed(2, 1, longestRun, 2)} }
+func newRunTimes() *runTimes {
+	return &runTimes{histogram: hdrhistogram.NewWindowed(2, 1, maxRunTime, 2)}
+}
 
-// add takes in a running time in milliseconds, that of an average target.
-func (t *times) add(ms float64) {
-	// A figure out of range cannot be recorded, so it is brought into it.
-	_ = t.h.Current.RecordValue(int64(min(longestRun, max(1, ms/unit))))
-	t.n++
-	if t.n%perWindow == 0 {
-		t.read()
-		t.h.Rotate()
-	} else if t.n == enough || t.n < perWindow && t.n%64 == 0 || t.n%256 == 0 {
-		t.read()
+// add records a run time in ms, converted to that at an average target.
+func (t *runTimes) add(ms float64) {
+	// The histogram rejects values out of its range, so they are clamped.
+	_ = t.histogram.Current.RecordValue(int64(min(maxRunTime, max(1, ms/histogramUnit))))
+	t.samples++
+	if t.samples%samplesPerWindow == 0 {
+		t.refreshTable()
+		t.histogram.Rotate()
+	} else if t.samples == minSamples || t.samples < samplesPerWindow && t.samples%64 == 0 || t.samples%256 == 0 {
+		t.refreshTable()
 	}
 }
 
-func (t *times) read() {
-	all := t.h.Merge()
+// refreshTable computes the table of quantiles from the histogram.
+func (t *runTimes) refreshTable() {
+	merged := t.histogram.Merge()
 	t.known = true
 	for i := range t.table {
-		t.table[i] = float64(all.ValueAtQuantile(100*topQuantile*float64(i)/(points-1))) * unit
+		t.table[i] = float64(merged.ValueAtQuantile(100*maxQuantile*float64(i)/(quantilePoints-1))) * histogramUnit
 	}
 }
 
-// at is the running time that a share q of the jobs stay under.
-func (t *times) at(q float64) float64 {
-	x := min(1, max(0, q/topQuantile)) * (points - 1)
-	i := min(int(x), points-2)
-	return t.table[i] + (x-float64(i))*(t.table[i+1]-t.table[i])
+// quantile returns the run time, in ms, below which a share q of the jobs stay.
+func (t *runTimes) quantile(q float64) float64 {
+	position := min(1, max(0, q/maxQuantile)) * (quantilePoints - 1)
+	i := min(int(position), quantilePoints-2)
+	return t.table[i] + (position-float64(i))*(t.table[i+1]-t.table[i])
 }
 
-// share is how many of the jobs are over after so long.
-func (t *times) share(ms float64) float64 {
-	lo, hi := 0, points-1
+// cumulative returns the share of the jobs that end within the given time.
+func (t *runTimes) cumulative(ms float64) float64 {
+	lo, hi := 0, quantilePoints-1
 	if ms < t.table[0] {
 		return 0
 	}
 	if ms >= t.table[hi] {
-		return topQuantile
+		return maxQuantile
 	}
 	for hi-lo > 1 {
 		if mid := (lo + hi) / 2; t.table[mid] <= ms {
@@ -70,48 +74,51 @@
 			hi = mid
 		}
 	}
-	part := 0.0
+	fraction := 0.0
 	if d := t.table[hi] - t.table[lo]; d > 0 {
-		part = (ms - t.table[lo]) / d
+		fraction = (ms - t.table[lo]) / d
 	}
-	return topQuantile * (float64(lo) + part) / (points - 1)
+	return maxQuantile * (float64(lo) + fraction) / (quantilePoints - 1)
 }
 
-// left is how much longer a job runs, at the quantile q, that has run for so long. One that
-// outran all that was seen is given a quarter of that again: nobody knows when it ends.
-func (t *times) left(q, ran float64) float64 {
-	p := t.share(ran)
-	if p >= topQuantile {
-		return max(ran/4, 1)
+// remaining returns how much longer a job runs, in ms, at the quantile q, given the time elapsed since its
+// start. If that exceeds all known run times the end is unknown, and a quarter of the elapsed time is
+// assumed.
+func (t *runTimes) remaining(q, elapsed float64) float64 {
+	elapsedShare := t.cumulative(elapsed)
+	if elapsedShare >= maxQuantile {
+		return max(elapsed/4, 1)
 	}
-	return max(t.at(p+q*(1-p))-ran, 0)
+	return max(t.quantile(elapsedShare+q*(1-elapsedShare))-elapsed, 0)
 }
 
-// book holds what is learned, by class and slots.
-type book struct {
-	by  [][maxSizes]*times
-	all *times
+// runTimeTable contains the learned run times by class and size, and of all jobs.
+type runTimeTable struct {
+	byClass [][maxSizes]*runTimes
+	all     *runTimes
 }
 
-func newBook(classes int) *book {
-	return &book{by: make([][maxSizes]*times, classes), all: newTimes()}
+func newRunTimeTable(classes int) *runTimeTable {
+	return &runTimeTable{byClass: make([][maxSizes]*runTimes, classes), all: newRunTimes()}
 }
 
-func (b *book) add(class, size int, ms float64) {
+// add records a run time in ms of a job of the given class and size. It ignores invalid values.
+func (b *runTimeTable) add(class, size int, ms float64) {
 	if !(ms > 0) || math.IsInf(ms, 0) {
 		return
 	}
-	if b.by[class][size] == nil {
-		b.by[class][size] = newTimes()
+	if b.byClass[class][size] == nil {
+		b.byClass[class][size] = newRunTimes()
 	}
-	b.by[class][size].add(ms)
+	b.byClass[class][size].add(ms)
 	b.all.add(ms)
 }
 
-// of is what is known for a class and size; nil while nothing is.
-func (b *book) of(class, size int) *times {
-	if t := b.by[class][size]; t != nil && t.known {
-		return t
+// find returns the run times of a class and size, or of all jobs if those are not known yet. It
+// returns nil if neither is known.
+func (b *runTimeTable) find(class, size int) *runTimes {
+	if learned := b.byClass[class][size]; learned != nil && learned.known {
+		return learned
 	}
 	if b.all.known {
 		return b.all
