--- a/internal/decide/decide_test.go
+++ b/internal/decide/decide_test.go
@@ -155,7 +155,7 @@
 	require.Nil(t, full[0].To, "to all")
 	// A scheduler that is distant on the ring, but has work at the target of the next job, is notified too.
 	at := findAction(h.handle(balance.Event{Kind: balance.Arrived, Request: 1, Class: "view", Budget: time.Second, Slots: 1}), balance.Send).Worker
-	h.handle(balance.Event{Kind: balance.PeerSpoke, Who: 3, Raw: string(gossip.AppendPart(nil, []gossip.Load{{Target: gossip.NameOf(at), Slots: 1}}))})
+	h.handle(balance.Event{Kind: balance.PeerSpoke, Who: 3, Raw: string(gossip.AppendChanges(nil, []gossip.Load{{Target: gossip.NameOf(at), Slots: 1}}))})
 	changes := sent(h.elapse(changesInterval))
 	require.Len(t, changes, 1)
 	require.Contains(t, changes[0].To, 3)
@@ -171,9 +171,9 @@
 	before := receiver.believedLoad(at)
 	receiver.handle(balance.Event{Kind: balance.PeerSpoke, Who: 40, Raw: changes[0].Raw})
 	require.InDelta(t, before+1, receiver.believedLoad(at), 0.01)
-	receiver.handle(balance.Event{Kind: balance.PeerSpoke, Who: 40, Raw: string(gossip.AppendPart(nil, []gossip.Load{{Target: gossip.NameOf("s-00"), Slots: 2}}))})
+	receiver.handle(balance.Event{Kind: balance.PeerSpoke, Who: 40, Raw: string(gossip.AppendChanges(nil, []gossip.Load{{Target: gossip.NameOf("s-00"), Slots: 2}}))})
 	require.InDelta(t, before+1, receiver.believedLoad(at), 0.01, "a target that is not in the message keeps its load")
-	receiver.handle(balance.Event{Kind: balance.PeerSpoke, Who: 40, Raw: string(gossip.AppendPart(nil, []gossip.Load{{Target: gossip.NameOf(at)}}))})
+	receiver.handle(balance.Event{Kind: balance.PeerSpoke, Who: 40, Raw: string(gossip.AppendChanges(nil, []gossip.Load{{Target: gossip.NameOf(at)}}))})
 	require.InDelta(t, before, receiver.believedLoad(at), 0.01, "no slots clear the load")
 	h.handle(balance.Event{Kind: balance.Ended, Request: 1, Worker: at, Result: balance.OK, Final: true})
 	all := sent(h.elapse(fullStateInterval))
@@ -319,7 +319,7 @@
 	require.NotNil(t, message)
 	var parsed gossip.Message
 	require.NoError(t, gossip.Parse(message.Raw, &parsed))
-	require.Equal(t, []gossip.Hold{{Target: gossip.NameOf("s-1").Short(), Slots: 4, From: parsed.Holds[0].From}}, parsed.Holds)
+	require.Equal(t, []gossip.Reservation{{Target: gossip.NameOf("s-1").Short(), Slots: 4, From: parsed.Holds[0].From}}, parsed.Holds)
 	h.endJob(ids[0], 1)
 	require.Nil(t, findAction(h.handle(balance.Event{Kind: balance.Arrived, Request: 3000, Class: "view", Tenant: "t", Budget: 5 * time.Second, Slots: 1}), balance.Send),
 		"a small job took a reserved slot")
--- a/internal/decide/fleet_bench_test.go
+++ b/internal/decide/fleet_bench_test.go
@@ -31,7 +31,7 @@
 				d.Step(now, &balance.Event{Kind: balance.Listed, List: balance.FromDisk, Members: members(ids...)}, nil)
 				for who := 1; who < peers; who++ {
 					m := gossip.Message{Loads: []gossip.Load{{Target: gossip.NameOf(ids[who%(targets/2)*2]), Slots: 1}}}
-					d.Step(now, &balance.Event{Kind: balance.PeerSpoke, Who: who, Raw: string(gossip.Append(nil, &m))}, nil)
+					d.Step(now, &balance.Event{Kind: balance.PeerSpoke, Who: who, Raw: string(gossip.AppendFull(nil, &m))}, nil)
 				}
 				b.ReportAllocs()
 				b.ResetTimer()
@@ -53,7 +53,7 @@
 				d, now := newLoadedDecider(b)
 				var raw [2]string
 				for i := range raw {
-					raw[i] = string(gossip.AppendPart(nil, []gossip.Load{{Target: gossip.NameOf(ids[5]), Slots: float64(i)}}))
+					raw[i] = string(gossip.AppendChanges(nil, []gossip.Load{{Target: gossip.NameOf(ids[5]), Slots: float64(i)}}))
 				}
 				var acts []balance.Action
 				for n := range b.N {
--- a/internal/decide/gossip.go
+++ b/internal/decide/gossip.go
@@ -69,7 +69,7 @@
 	first := d.fullStateAt == 0
 	if fullState := first || now-d.fullStateAt >= interval; fullState || !reserving && len(d.changes) > 0 {
 		to, needed := d.recipients(fullState)
-		message := &gossip.Message{Part: true, Loads: d.changes}
+		message := &gossip.Message{Changes: true, Loads: d.changes}
 		if fullState {
 			d.fullStateAt, d.sentReservations, message = max(now, 1), len(d.outgoing.Holds) > 0, &d.outgoing
 		}
@@ -131,12 +131,12 @@
 func (d *Decider) appendMessage(m *gossip.Message, to []int, acts []balance.Action) []balance.Action {
 	emit := func() { acts = append(acts, balance.Action{Kind: balance.Tell, Raw: string(d.encoded), To: to}) }
 	shared := func(n gossip.Name) bool { return len(d.byShortName[n.Short()]) > 1 }
-	if m.Fits() && !slices.ContainsFunc(m.Loads, func(l gossip.Load) bool { return shared(l.Target) }) &&
-		!slices.ContainsFunc(m.Holds, func(h gossip.Hold) bool { return shared(h.Target) }) {
-		if d.encoded = d.encoded[:0]; m.Part {
-			d.encoded = gossip.AppendPart(d.encoded, m.Loads)
+	if m.FitsShortNames() && !slices.ContainsFunc(m.Loads, func(l gossip.Load) bool { return shared(l.Target) }) &&
+		!slices.ContainsFunc(m.Holds, func(h gossip.Reservation) bool { return shared(h.Target) }) {
+		if d.encoded = d.encoded[:0]; m.Changes {
+			d.encoded = gossip.AppendChanges(d.encoded, m.Loads)
 		} else {
-			d.encoded = gossip.Append(d.encoded, m)
+			d.encoded = gossip.AppendFull(d.encoded, m)
 		}
 		emit()
 		return acts
@@ -144,7 +144,7 @@
 	rest := *m
 	for first := gossip.Name(0); ; {
 		written := 0
-		d.encoded, written, first = gossip.AppendLong(d.encoded[:0], &rest, first)
+		d.encoded, written, first = gossip.AppendRange(d.encoded[:0], &rest, first)
 		emit()
 		if rest.Loads = rest.Loads[written:]; len(rest.Loads) == 0 {
 			return acts
@@ -229,7 +229,7 @@
 
 // targetsNamed returns the ids of the targets to which a name in the received message refers.
 func (d *Decider) targetsNamed(n gossip.Name) []string {
-	if d.received.Long {
+	if d.received.LongNames {
 		return d.byName[n]
 	}
 	return d.byShortName[n]
@@ -246,10 +246,10 @@
 	if d.peerLoads[ev.Who] == nil {
 		d.peerLoads[ev.Who] = map[string]float64{}
 	}
-	if !d.received.Part {
+	if !d.received.Changes {
 		for id := range d.peerLoads[ev.Who] {
-			if d.received.Long {
-				if n := gossip.NameOf(id); n < d.received.First || n > d.received.Final {
+			if d.received.LongNames {
+				if n := gossip.NameOf(id); n < d.received.First || n > d.received.Last {
 					continue
 				}
 			}
--- a/internal/decide/gossip_test.go
+++ b/internal/decide/gossip_test.go
@@ -132,7 +132,7 @@
 	}
 	require.Empty(t, d.peerLoads[0])
 	// A message with short names, as an old scheduler sends it, refers to both targets.
-	receiver.handle(balance.Event{Kind: balance.PeerSpoke, Who: 0, Raw: string(gossip.AppendPart(nil, []gossip.Load{{Target: gossip.NameOf(a), Slots: 1}}))})
+	receiver.handle(balance.Event{Kind: balance.PeerSpoke, Who: 0, Raw: string(gossip.AppendChanges(nil, []gossip.Load{{Target: gossip.NameOf(a), Slots: 1}}))})
 	require.Equal(t, map[string]float64{a: 1, b: 1}, d.peerLoads[0])
 }
 
@@ -181,7 +181,7 @@
 	long := manyIDs(5000)
 	h.handle(balance.Event{Kind: balance.Listed, List: balance.Changes, Members: members(long...)})
 	require.Len(t, d.names, 5002)
-	raw := string(gossip.AppendPart(nil, []gossip.Load{{Target: gossip.NameOf(long[7]), Slots: 2}}))
+	raw := string(gossip.AppendChanges(nil, []gossip.Load{{Target: gossip.NameOf(long[7]), Slots: 2}}))
 	h.handle(balance.Event{Kind: balance.PeerSpoke, Who: 9, Raw: raw})
 	require.NotEmpty(t, d.peerLoads[9])
 	h.handle(balance.Event{Kind: balance.Listed, List: balance.Whole, Members: members("s-2")})
--- a/internal/decide/room.go
+++ b/internal/decide/room.go
@@ -235,12 +235,12 @@
 		return
 	}
 	d.planner.OwnReservations(func(id string, slots, out, neededAt float64) {
-		d.outgoing.Holds = append(d.outgoing.Holds, gossip.Hold{Target: gossip.NameOf(id), Slots: slots, Out: out, From: neededAt - millis(now)})
+		d.outgoing.Holds = append(d.outgoing.Holds, gossip.Reservation{Target: gossip.NameOf(id), Slots: slots, OtherSlots: out, From: neededAt - millis(now)})
 	})
 }
 
 // applyPeerState passes the loads and reservations of another scheduler to the module and the planner.
-func (d *Decider) applyPeerState(now time.Duration, peer int, reservations []gossip.Hold, acts []balance.Action) []balance.Action {
+func (d *Decider) applyPeerState(now time.Duration, peer int, reservations []gossip.Reservation, acts []balance.Action) []balance.Action {
 	first := len(acts)
 	d.event = balance.Event{Kind: balance.PeerSpoke, Who: peer, Loads: d.peerLoads[peer]}
 	acts = d.module.Step(now, &d.event, acts)
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -1,35 +1,37 @@
-// Package gossip is the form of the datagrams by which schedulers of one tier tell one another
-// what they have out and what room they hold. It is pure text work: who sends them, and when,
-// is decided elsewhere.
+// Package gossip defines the format of the datagrams by which the schedulers of one tier report their
+// outstanding load and their reservations to each other. It encodes messages to bytes and parses them.
+// It does no I/O, and does not decide who sends datagrams, to whom or when.
 //
-// A datagram that tells all is at most 256 bytes: the version, 1, and groups of three bytes. First come the
-// loads, a group for each target: two bytes of the hash of its name, and slots. A group of
-// zeros ends them. Then come the holds, two groups for each:
+// Three versions carry loads and reservations. Numbers are little-endian.
 //
-//	name (2)  slots out and held together
-//	held, from (8 ms units)  0
+// Version 1 is a full state in at most 256 bytes: the version, and groups of three bytes. The loads come
+// first, with a group for each target: two bytes of the hash of its name, and the slots. A group of zeros
+// ends them. The reservations follow, with two groups for each:
 //
-// A scheduler that knows loads alone reads the last group that names a target, so that it
-// takes held room for load, and leaves it alone; it takes the second group for a target
-// without load. Should that group happen to spell a target's name (one chance in 65,536 for
-// each target and hold), it sees that target without this scheduler's work until the next
-// datagram. Loads sent by such a scheduler never hold a group of zeros.
+//	name (2)  outstanding and reserved slots together
+//	reserved slots, start (8 ms units)  0
 //
-// Between two of these, a datagram of version 2 tells what changed: groups of three bytes, where
-// no slots mean that nothing is out there any more. A scheduler that does not know it counts it as
-// unreadable and believes what it was told last; one that lost it is put right by the next whole one.
+// A scheduler that knows only loads uses the last group that names a target. So it takes reserved slots
+// for load, and does not use them. It takes the second group of a reservation for a target without load.
+// If that group happens to equal a target's name (one chance in 65,536 for each target and reservation),
+// it sees no load of the sender at that target until the next datagram. Loads sent by such a scheduler
+// never contain a group of zeros.
 //
-// Both forms would say what is not so where a target shares its two bytes with another listed one,
-// and version 1 where not all fits, as what it leaves out is taken for idle. There version 3 is
-// sent in place of either. It calls targets by four bytes, and says of which stretch of names it
-// tells all; several of them tell a whole, each true by itself:
+// Version 2 reports changes between two full states, in groups of three bytes as above. No slots mean that
+// the load at the target ended. A scheduler that does not know version 2 counts the datagram as unreadable
+// and keeps the last state. A scheduler that lost one is corrected by the next full state.
+//
+// Versions 1 and 2 would be wrong for a target whose short name is also that of another listed target.
+// Version 1 would also be wrong if not all loads fit, as a receiver takes omitted targets for idle. In these
+// cases version 3 replaces both. It uses four-byte names, and states the range of names for which it is
+// complete. A full state may consist of several such datagrams, each correct by itself:
 //
 //	3  number of loads  first name (4)  last name (4)
 //	for each load: name (4)  slots
-//	for each hold: name (4)  slots  from (8 ms units)
+//	for each reservation: name (4)  slots  start (8 ms units)
 //
-// An empty stretch (first above last) makes it one of changes. Numbers are little-endian. A
-// scheduler that does not know it counts it as unreadable, and after a while takes its sender for silent.
+// An empty range (first above last) makes it a datagram of changes. A scheduler that does not know version 3
+// counts it as unreadable, and treats the sender as silent after a while.
 package gossip
 
 import (
@@ -39,218 +41,223 @@
 	"math"
 )
 
-// MaxSize is the longest datagram that the platform allows, in bytes.
+// MaxSize is the maximum size of a datagram on the platform, in bytes.
 const MaxSize = 256
 
 const (
-	version  = 1
-	changes  = 2 // the version that tells changes alone
-	exact    = 3 // the version with long names
-	group    = 3
-	header   = 10 // of version 3
-	longLoad = 5
-	longHold = 6
-	fromUnit = 8 // milliseconds
-	// MaxHolds is how many holds a datagram tells; further ones wait for the next.
-	MaxHolds = 8
+	versionFull          = 1
+	versionChanges       = 2
+	versionRange         = 3  // four-byte names
+	groupSize            = 3  // bytes
+	rangeHeaderSize      = 10 // bytes, of version 3
+	rangeLoadSize        = 5  // bytes, of version 3
+	rangeReservationSize = 6  // bytes, of version 3
+	timeUnit             = 8  // ms
+	// MaxReservations is the maximum number of reservations in a datagram. Further ones wait for the next.
+	MaxReservations = 8
 )
 
-// Name is what a datagram calls a target: in version 3 all of it, in the others its Short.
+// Name identifies a target in a datagram. Version 3 uses all of it, the other versions use Short.
 type Name uint32
 
-// Last is the last of all names.
-const Last = Name(math.MaxUint32)
+// MaxName is the highest name.
+const MaxName = Name(math.MaxUint32)
 
-// NameOf hashes a target's name. Of 200 targets two share one in a fleet of 200,000.
+// NameOf hashes a target's name. In one of 200,000 fleets of 200 targets, two targets get the same Name.
 func NameOf(target string) Name {
 	h := fnv.New32a()
 	h.Write([]byte(target))
 	return Name(h.Sum32())
 }
 
-// Short is the two bytes by which versions 1 and 2 call a target. Of 200 targets two share them in
-// more than a quarter of all fleets.
+// Short returns the two bytes that identify a target in versions 1 and 2. In more than a quarter of all
+// fleets of 200 targets, two targets share them.
 func (n Name) Short() Name { return n >> 8 & 0xffff }
 
-// Load is the slots that a scheduler has out at a target.
+// Load is the number of slots that a scheduler uses at a target.
 type Load struct {
 	Target Name
 	Slots  float64
 }
 
-// Hold is room that a scheduler holds at a target.
-type Hold struct {
-	Target Name
-	Slots  float64 // held, for one flow
-	Out    float64 // out there besides; only Append reads it
-	From   float64 // milliseconds from the sending until it is needed, up to 2,040
+// Reservation is a number of slots that a scheduler reserved at a target.
+type Reservation struct {
+	Target     Name
+	Slots      float64 // reserved for one flow
+	OtherSlots float64 // used by the scheduler at the target at present; only AppendFull reads it
+	From       float64 // ms from the sending until its flow can start, up to 2,040
 }
 
-// Message is what a datagram says.
+// Message is the content of a datagram.
 type Message struct {
-	// Part says that Loads are changes alone, where a load of no slots is one that ended, and
-	// targets that are not named have what they had.
-	Part bool
-	// Long says that targets are called by their whole names, and not by short ones.
-	Long bool
-	// First and Final bound the names of which all is told, where Long is set and Part is not.
-	First, Final Name
-	Loads        []Load
-	Holds        []Hold
+	// Changes is set if Loads contains only changes. A load of no slots then means that the load ended,
+	// and other targets keep their load.
+	Changes bool
+	// LongNames is set if targets are identified by full names, and not by short ones.
+	LongNames bool
+	// First and Last are the range of names for which Loads is complete, if LongNames is set and Changes
+	// is not.
+	First, Last Name
+	Loads       []Load
+	Holds       []Reservation
 }
 
-// ErrForm marks a datagram that is none of these versions.
-var ErrForm = errors.New("tell: not a datagram of a known version")
+// ErrForm is returned for a datagram that is malformed or has an unknown version.
+var ErrForm = errors.New("gossip: malformed datagram or unknown version")
 
-// Fits says whether versions 1 and 2 tell all of a message in one datagram.
-func (m *Message) Fits() bool {
-	room := MaxSize - 1
+// FitsShortNames reports whether a message fits into one datagram of version 1 or 2.
+func (m *Message) FitsShortNames() bool {
+	space := MaxSize - 1
 	if len(m.Holds) > 0 {
-		room -= group * (1 + 2*min(len(m.Holds), MaxHolds))
+		space -= groupSize * (1 + 2*min(len(m.Holds), MaxReservations))
 	}
-	return len(m.Loads) <= room/group
+	return len(m.Loads) <= space/groupSize
 }
 
-// Append writes a message in version 1, with short names. Holds come first where there is not room
-// for all; of either, what does not fit is left out, so that whoever has more calls AppendLong.
-func Append(raw []byte, m *Message) []byte {
-	holds := m.Holds[:min(len(m.Holds), MaxHolds)]
-	room := MaxSize - 1
-	if len(holds) > 0 {
-		room -= group * (1 + 2*len(holds))
+// AppendFull appends a message in version 1, with short names. If not all fits, reservations take
+// precedence over loads, and the rest of either is omitted. Use AppendRange for a message that
+// does not fit.
+func AppendFull(raw []byte, m *Message) []byte {
+	reservations := m.Holds[:min(len(m.Holds), MaxReservations)]
+	space := MaxSize - 1
+	if len(reservations) > 0 {
+		space -= groupSize * (1 + 2*len(reservations))
 	}
-	raw = append(raw, version)
-	for _, l := range m.Loads[:min(len(m.Loads), room/group)] {
-		raw = append(short(raw, l.Target), count(l.Slots))
+	raw = append(raw, versionFull)
+	for _, l := range m.Loads[:min(len(m.Loads), space/groupSize)] {
+		raw = append(appendShortName(raw, l.Target), encodeSlotsInUse(l.Slots))
 	}
-	if len(holds) == 0 {
+	if len(reservations) == 0 {
 		return raw
 	}
 	raw = append(raw, 0, 0, 0)
-	for _, h := range holds {
-		raw = append(short(raw, h.Target), count(h.Out+h.Slots), count(h.Slots), from(h.From), 0)
+	for _, h := range reservations {
+		raw = append(appendShortName(raw, h.Target), encodeSlotsInUse(h.OtherSlots+h.Slots), encodeSlotsInUse(h.Slots), encodeTime(h.From), 0)
 	}
 	return raw
 }
 
-// AppendPart writes a message of changes in version 2. What does not fit is left out.
-func AppendPart(raw []byte, loads []Load) []byte {
-	raw = append(raw, changes)
-	for _, l := range loads[:min(len(loads), (MaxSize-1)/group)] {
-		raw = append(short(raw, l.Target), ended(l.Slots))
+// AppendChanges appends a message of changes in version 2. It omits changes that do not fit.
+func AppendChanges(raw []byte, loads []Load) []byte {
+	raw = append(raw, versionChanges)
+	for _, l := range loads[:min(len(loads), (MaxSize-1)/groupSize)] {
+		raw = append(appendShortName(raw, l.Target), encodeSlots(l.Slots))
 	}
 	return raw
 }
 
-// AppendLong writes as much of a message as one datagram of version 3 holds, and returns how many
-// loads that is and where the next one begins. The loads are in the order of their names, none
-// before first; what it tells all of reaches from first to the name before next, which is 0 after the last.
-func AppendLong(raw []byte, m *Message, first Name) (out []byte, told int, next Name) {
-	holds := m.Holds[:min(len(m.Holds), MaxHolds)]
-	told = min(len(m.Loads), (MaxSize-header-longHold*len(holds))/longLoad)
-	final := Last
+// AppendRange appends as much of a message as fits into one datagram of version 3. It returns the number
+// of loads written, and the first name of the next datagram, or 0 after the last. The loads must be in
+// the order of their names, with none before first. The datagram is complete for the names from first
+// up to, but not including, next.
+func AppendRange(raw []byte, m *Message, first Name) (out []byte, written int, next Name) {
+	reservations := m.Holds[:min(len(m.Holds), MaxReservations)]
+	written = min(len(m.Loads), (MaxSize-rangeHeaderSize-rangeReservationSize*len(reservations))/rangeLoadSize)
+	last := MaxName
 	switch {
-	case m.Part:
-		first, final = 1, 0
-	case told < len(m.Loads):
-		next = m.Loads[told].Target
-		final = next - 1
+	case m.Changes:
+		first, last = 1, 0
+	case written < len(m.Loads):
+		next = m.Loads[written].Target
+		last = next - 1
 	}
-	raw = append(raw, exact, byte(told))
+	raw = append(raw, versionRange, byte(written))
 	raw = binary.LittleEndian.AppendUint32(raw, uint32(first))
-	raw = binary.LittleEndian.AppendUint32(raw, uint32(final))
-	for _, l := range m.Loads[:told] {
-		raw = append(binary.LittleEndian.AppendUint32(raw, uint32(l.Target)), ended(l.Slots))
+	raw = binary.LittleEndian.AppendUint32(raw, uint32(last))
+	for _, l := range m.Loads[:written] {
+		raw = append(binary.LittleEndian.AppendUint32(raw, uint32(l.Target)), encodeSlots(l.Slots))
 	}
-	for _, h := range holds {
-		raw = append(binary.LittleEndian.AppendUint32(raw, uint32(h.Target)), count(h.Slots), from(h.From))
+	for _, h := range reservations {
+		raw = append(binary.LittleEndian.AppendUint32(raw, uint32(h.Target)), encodeSlotsInUse(h.Slots), encodeTime(h.From))
 	}
-	return raw, told, next
+	return raw, written, next
 }
 
-func short(raw []byte, n Name) []byte { return append(raw, byte(n.Short()), byte(n.Short()>>8)) }
+func appendShortName(raw []byte, n Name) []byte {
+	return append(raw, byte(n.Short()), byte(n.Short()>>8))
+}
 
-func from(ms float64) byte { return byte(min(255, max(0, math.Round(ms/fromUnit)))) }
+func encodeTime(ms float64) byte { return byte(min(255, max(0, math.Round(ms/timeUnit)))) }
 
-// ended is a number of slots as a byte, 0 where nothing is out any more.
-func ended(slots float64) byte {
+// encodeSlots returns a number of slots as a byte, with 0 for a load that ended.
+func encodeSlots(slots float64) byte {
 	if slots <= 0 {
 		return 0
 	}
-	return count(slots)
+	return encodeSlotsInUse(slots)
 }
 
-// count is a number of slots as a byte, 1 at least: 0 has a meaning of its own.
-func count(slots float64) byte { return byte(min(255, max(1, math.Ceil(slots)))) }
+// encodeSlotsInUse returns a number of slots as a byte, at least 1, as 0 has a meaning of its own.
+func encodeSlotsInUse(slots float64) byte { return byte(min(255, max(1, math.Ceil(slots)))) }
 
-// Parse reads a datagram into m, whose slices it uses again.
+// Parse decodes a datagram into m and reuses its slices.
 func Parse(raw string, m *Message) error {
 	*m = Message{Loads: m.Loads[:0], Holds: m.Holds[:0]}
-	if len(raw) > 0 && raw[0] == exact {
-		return m.parseLong(raw)
+	if len(raw) > 0 && raw[0] == versionRange {
+		return m.parseRange(raw)
 	}
-	if len(raw)%group != 1 || len(raw) > MaxSize || raw[0] != version && raw[0] != changes {
+	if len(raw)%groupSize != 1 || len(raw) > MaxSize || raw[0] != versionFull && raw[0] != versionChanges {
 		return ErrForm
 	}
-	m.Part = raw[0] == changes
-	at := 1
-	for ; at < len(raw); at += group {
-		if raw[at+2] == 0 && !m.Part {
+	m.Changes = raw[0] == versionChanges
+	pos := 1
+	for ; pos < len(raw); pos += groupSize {
+		if raw[pos+2] == 0 && !m.Changes {
 			break
 		}
-		m.Loads = append(m.Loads, Load{name(raw[at:]), float64(raw[at+2])})
+		m.Loads = append(m.Loads, Load{decodeShortName(raw[pos:]), float64(raw[pos+2])})
 	}
-	if at == len(raw) {
+	if pos == len(raw) {
 		return nil
 	}
-	// Whatever is no hold to the last byte is none at all: the loads before it still count.
-	rest := raw[at:]
-	if rest[0] != 0 || rest[1] != 0 || (len(rest)-group)%(2*group) != 0 || (len(rest)-group)/(2*group) > MaxHolds {
+	// One invalid byte makes all reservations invalid. The loads before them are still valid.
+	rest := raw[pos:]
+	if rest[0] != 0 || rest[1] != 0 || (len(rest)-groupSize)%(2*groupSize) != 0 || (len(rest)-groupSize)/(2*groupSize) > MaxReservations {
 		return ErrForm
 	}
-	for rest = rest[group:]; len(rest) > 0; rest = rest[2*group:] {
-		h := Hold{Target: name(rest), Slots: float64(rest[3]), From: fromUnit * float64(rest[4])}
+	for rest = rest[groupSize:]; len(rest) > 0; rest = rest[2*groupSize:] {
+		r := Reservation{Target: decodeShortName(rest), Slots: float64(rest[3]), From: timeUnit * float64(rest[4])}
 		if rest[2] == 0 || rest[3] == 0 || rest[5] != 0 || rest[3] > rest[2] {
 			m.Holds = m.Holds[:0]
 			return ErrForm
 		}
-		m.Holds = append(m.Holds, h)
+		m.Holds = append(m.Holds, r)
 	}
 	return nil
 }
 
-// parseLong reads a datagram of version 3; one that is wrong anywhere says nothing.
-func (m *Message) parseLong(raw string) error {
-	if len(raw) < header || len(raw) > MaxSize {
+// parseRange decodes a datagram of version 3. It rejects the whole datagram if any part is invalid.
+func (m *Message) parseRange(raw string) error {
+	if len(raw) < rangeHeaderSize || len(raw) > MaxSize {
 		return ErrForm
 	}
-	loads, rest := int(raw[1]), raw[header:]
-	holds := len(rest) - longLoad*loads
-	if holds < 0 || holds%longHold != 0 || holds > longHold*MaxHolds {
+	loads, rest := int(raw[1]), raw[rangeHeaderSize:]
+	reservationBytes := len(rest) - rangeLoadSize*loads
+	if reservationBytes < 0 || reservationBytes%rangeReservationSize != 0 || reservationBytes > rangeReservationSize*MaxReservations {
 		return ErrForm
 	}
-	m.Long, m.First, m.Final = true, long(raw[2:]), long(raw[6:])
-	m.Part = m.First > m.Final
+	m.LongNames, m.First, m.Last = true, decodeName(raw[2:]), decodeName(raw[6:])
+	m.Changes = m.First > m.Last
 	for range loads {
-		l := Load{long(rest), float64(rest[4])}
-		if !m.Part && (l.Slots == 0 || l.Target < m.First || l.Target > m.Final) {
+		l := Load{decodeName(rest), float64(rest[4])}
+		if !m.Changes && (l.Slots == 0 || l.Target < m.First || l.Target > m.Last) {
 			m.Loads = m.Loads[:0]
 			return ErrForm
 		}
-		m.Loads, rest = append(m.Loads, l), rest[longLoad:]
+		m.Loads, rest = append(m.Loads, l), rest[rangeLoadSize:]
 	}
-	for ; len(rest) > 0; rest = rest[longHold:] {
+	for ; len(rest) > 0; rest = rest[rangeReservationSize:] {
 		if rest[4] == 0 {
 			m.Loads, m.Holds = m.Loads[:0], m.Holds[:0]
 			return ErrForm
 		}
-		m.Holds = append(m.Holds, Hold{Target: long(rest), Slots: float64(rest[4]), From: fromUnit * float64(rest[5])})
+		m.Holds = append(m.Holds, Reservation{Target: decodeName(rest), Slots: float64(rest[4]), From: timeUnit * float64(rest[5])})
 	}
 	return nil
 }
 
-func long(s string) Name {
+func decodeName(s string) Name {
 	return Name(s[0]) | Name(s[1])<<8 | Name(s[2])<<16 | Name(s[3])<<24
 }
 
-func name(s string) Name { return Name(s[0]) | Name(s[1])<<8 }
+func decodeShortName(s string) Name { return Name(s[0]) | Name(s[1])<<8 }
--- a/internal/gossip/lists_test.go
+++ b/internal/gossip/lists_test.go
@@ -6,13 +6,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestListForms(t *testing.T) {
+func TestListMessages(t *testing.T) {
 	q := ListQuestion{Process: 7, AskedAt: 1_700_000_000_000_001, Age: 1234, Digest: 5}
 	raw := string(q.Append(nil))
 	require.True(t, IsAboutLists(raw))
-	got, none, err := ParseList(raw)
+	got, answer, err := ParseList(raw)
 	require.NoError(t, err)
-	require.Nil(t, none)
+	require.Nil(t, answer)
 	require.Equal(t, &q, got)
 	keys := make([]Key, MaxKeys)
 	for i := range keys {
@@ -32,17 +32,17 @@
 	}
 }
 
-// Ages are told as no younger than they are, and as far as they can be told.
+// Ages are rounded up, so that no list appears newer than it is, and limited to what can be encoded.
 func TestAgesAreRoundedUp(t *testing.T) {
-	for age, told := range map[float64]float64{0.1: 1, 5: 5, 5.001: 6, 1e9: MaxAge, -3: 0} {
+	for age, encoded := range map[float64]float64{0.1: 1, 5: 5, 5.001: 6, 1e9: MaxAge, -3: 0} {
 		q := ListQuestion{Age: age}
 		got, _, err := ParseList(string(q.Append(nil)))
 		require.NoError(t, err)
-		require.Equal(t, told, got.Age)
+		require.Equal(t, encoded, got.Age)
 	}
 }
 
-// A target that starts anew has another key, and lists that differ another digest.
+// A target that restarts gets a new key, and different lists have different digests.
 func TestKeysAndDigests(t *testing.T) {
 	require.NotEqual(t, KeyOf("a", 0), KeyOf("a", 1))
 	require.NotEqual(t, KeyOf("a", 0), KeyOf("b", 0))
@@ -50,8 +50,8 @@
 	require.NotEqual(t, DigestOf(nil), DigestOf([]Key{0}))
 }
 
-// What is none of these forms is refused, and the forms of loads and lists are not taken for one another.
-func TestListFormsThatAreNone(t *testing.T) {
+// Malformed datagrams are rejected, and datagrams about loads and about lists are not confused.
+func TestMalformedListMessages(t *testing.T) {
 	q := ListQuestion{Process: 7}
 	raw := string(q.Append(nil))
 	for _, wrong := range []string{"", raw[:22], raw + "x", raw + "12345678", "\x01" + raw[1:], string(make([]byte, MaxSize+1))} {
@@ -60,7 +60,7 @@
 	}
 	var m Message
 	require.ErrorIs(t, Parse(raw, &m), ErrForm)
-	require.False(t, IsAboutLists(string(Append(nil, &Message{}))))
+	require.False(t, IsAboutLists(string(AppendFull(nil, &Message{}))))
 }
 
 func FuzzParseList(f *testing.F) {
