--- a/internal/decide/decide.go
+++ b/internal/decide/decide.go
@@ -75,26 +75,26 @@
 	return d, nil
 }
 
-// Step processes one event at the given time, appends the resulting actions to acts and returns it.
-func (d *Decider) Step(now time.Duration, ev *balance.Event, acts []balance.Action) []balance.Action {
-	first := len(acts)
+// Step processes one event at the given time, appends the resulting actions and returns the slice.
+func (d *Decider) Step(now time.Duration, ev *balance.Event, actions []balance.Action) []balance.Action {
+	first := len(actions)
 	switch {
 	case ev.Kind == balance.TimerDue && ev.Timer == gossipTimer:
-		return d.sendState(now, acts)
+		return d.sendState(now, actions)
 	case ev.Kind == balance.TimerDue && ev.Timer == plannerTimer:
-		return d.plannerDue(now, acts)
+		return d.plannerDue(now, actions)
 	case ev.Kind == balance.PeerSpoke:
-		return d.receive(now, ev, acts)
+		return d.receive(now, ev, actions)
 	case ev.Kind == balance.Listed && ev.List != balance.AskFailed:
 		d.updateNames(ev)
 	}
 	late := d.finishesLate(now, ev)
-	acts = d.module.Step(now, ev, acts)
-	acts = d.afterModule(now, ev, late, first, acts)
+	actions = d.module.Step(now, ev, actions)
+	actions = d.afterModule(now, ev, late, first, actions)
 	if ev.Kind == balance.Listed && ev.List == balance.FromDisk {
-		acts = d.sendState(now, acts)
+		actions = d.sendState(now, actions)
 	}
-	return acts
+	return actions
 }
 
 // View returns the module's current estimate of a target. The bool is false if the target is not listed.
--- a/internal/decide/gossip.go
+++ b/internal/decide/gossip.go
@@ -45,9 +45,9 @@
 // sends changes as they occur and the full state periodically, so that no single datagram has to
 // arrive. It also discards the loads and reservations of each scheduler that was silent for longer
 // than peerTimeout. After that, only the targets' reports include the work of that scheduler.
-func (d *Decider) sendState(now time.Duration, acts []balance.Action) []balance.Action {
+func (d *Decider) sendState(now time.Duration, actions []balance.Action) []balance.Action {
 	if !d.settings.Peers || d.settings.Fleet < 2 {
-		return acts
+		return actions
 	}
 	for peer, receivedAt := range d.receivedAt {
 		if receivedAt > 0 && now-receivedAt > peerTimeout {
@@ -55,7 +55,7 @@
 			for id := range d.peerLoads[peer] {
 				d.setPeerLoad(peer, id, 0)
 			}
-			acts = d.applyPeerState(now, peer, nil, acts)
+			actions = d.applyPeerState(now, peer, nil, actions)
 		}
 	}
 	d.collectLoads()
@@ -79,10 +79,10 @@
 			to, needed = nil, true
 		}
 		if d.sentLoads = append(d.sentLoads[:0], d.outgoing.Loads...); needed {
-			acts = d.appendMessage(message, to, acts)
+			actions = d.appendMessage(message, to, actions)
 		}
 	}
-	return append(acts, balance.Action{Kind: balance.Wake, Timer: gossipTimer, After: changesInterval})
+	return append(actions, balance.Action{Kind: balance.Wake, Timer: gossipTimer, After: changesInterval})
 }
 
 // collectLoads lists the outstanding slots by target in the order of the names, and the changes to
@@ -128,8 +128,8 @@
 // the formats with short names if the message fits into one datagram and no target in it shares its
 // short name with another. Otherwise receivers would take omitted targets for idle, or add the load
 // to the other target as well.
-func (d *Decider) appendMessage(m *gossip.Message, to []int, acts []balance.Action) []balance.Action {
-	emit := func() { acts = append(acts, balance.Action{Kind: balance.Tell, Raw: string(d.encoded), To: to}) }
+func (d *Decider) appendMessage(m *gossip.Message, to []int, actions []balance.Action) []balance.Action {
+	emit := func() { actions = append(actions, balance.Action{Kind: balance.Tell, Raw: string(d.encoded), To: to}) }
 	shared := func(n gossip.Name) bool { return len(d.byShortName[n.Short()]) > 1 }
 	if m.FitsShortNames() && !slices.ContainsFunc(m.Loads, func(l gossip.Load) bool { return shared(l.Target) }) &&
 		!slices.ContainsFunc(m.Holds, func(h gossip.Reservation) bool { return shared(h.Target) }) {
@@ -139,7 +139,7 @@
 			d.encoded = gossip.AppendFull(d.encoded, m)
 		}
 		emit()
-		return acts
+		return actions
 	}
 	rest := *m
 	for first := gossip.Name(0); ; {
@@ -147,7 +147,7 @@
 		d.encoded, written, first = gossip.AppendRange(d.encoded[:0], &rest, first)
 		emit()
 		if rest.Loads = rest.Loads[written:]; len(rest.Loads) == 0 {
-			return acts
+			return actions
 		}
 	}
 }
@@ -237,10 +237,10 @@
 
 // receive processes a datagram of another scheduler. It counts and ignores a datagram that cannot
 // be parsed, or whose sender is invalid.
-func (d *Decider) receive(now time.Duration, ev *balance.Event, acts []balance.Action) []balance.Action {
+func (d *Decider) receive(now time.Duration, ev *balance.Event, actions []balance.Action) []balance.Action {
 	if ev.Who < 0 || ev.Who >= d.settings.Fleet || ev.Who == d.settings.Self || gossip.Parse(ev.Raw, &d.received) != nil {
 		d.Unreadable++
-		return acts
+		return actions
 	}
 	d.receivedAt[ev.Who] = now
 	if d.peerLoads[ev.Who] == nil {
@@ -261,5 +261,5 @@
 			d.setPeerLoad(ev.Who, id, l.Slots)
 		}
 	}
-	return d.applyPeerState(now, ev.Who, d.received.Holds, acts)
+	return d.applyPeerState(now, ev.Who, d.received.Holds, actions)
 }
--- a/internal/decide/room.go
+++ b/internal/decide/room.go
@@ -65,10 +65,10 @@
 }
 
 // afterModule passes an event and the module's actions on it to the planner, and the planner's
-// actions to the module, until neither produces more. The module's actions start at acts[first].
-func (d *Decider) afterModule(now time.Duration, ev *balance.Event, late bool, first int, acts []balance.Action) []balance.Action {
+// actions to the module, until neither produces more. The module's actions start at actions[first].
+func (d *Decider) afterModule(now time.Duration, ev *balance.Event, late bool, first int, actions []balance.Action) []balance.Action {
 	if d.planner == nil {
-		return acts
+		return actions
 	}
 	switch ev.Kind {
 	case balance.Listed:
@@ -88,19 +88,19 @@
 	case balance.Departed:
 		d.notifyPlanner(now, room.Event{Kind: room.FlowDone, Flow: ev.Request})
 	}
-	acts = d.exchangeActions(now, ev, first, acts)
+	actions = d.exchangeActions(now, ev, first, actions)
 	if ev.Kind == balance.Arrived || ev.Kind == balance.Ended && !ev.Final {
 		if latest, anywhere, queued := d.module.Held(now, ev.Request); queued && anywhere {
 			wait := room.Event{Kind: room.FlowQueued, Flow: ev.Request, LatestStart: millis(latest)}
 			if ev.Kind == balance.Arrived {
 				wait.Class, wait.Tenant, wait.Need, wait.Memory, wait.MachineKind = ev.Class, ev.Tenant, ev.Slots, ev.Memory, d.machineKindOf(ev.Class)
 			}
-			first = len(acts)
+			first = len(actions)
 			d.notifyPlanner(now, wait)
-			acts = d.exchangeActions(now, ev, first, acts)
+			actions = d.exchangeActions(now, ev, first, actions)
 		}
 	}
-	return acts
+	return actions
 }
 
 // machineKindOf returns the kind of machine that a class needs; empty if unset.
@@ -113,24 +113,24 @@
 	return ""
 }
 
-// exchangeActions passes the module's actions from acts[first] on to the planner, and the planner's
+// exchangeActions passes the module's actions from actions[first] on to the planner, and the planner's
 // to the module. Each round sends a request, ends one or changes a reservation. The planner does so
 // a bounded number of times for each event, so the loop ends.
-func (d *Decider) exchangeActions(now time.Duration, ev *balance.Event, first int, acts []balance.Action) []balance.Action {
-	for i := first; i < len(acts) || len(d.plannerActions) > 0; {
-		for ; i < len(acts); i++ {
-			d.forwardModuleAction(now, ev, &acts[i])
+func (d *Decider) exchangeActions(now time.Duration, ev *balance.Event, first int, actions []balance.Action) []balance.Action {
+	for i := first; i < len(actions) || len(d.plannerActions) > 0; {
+		for ; i < len(actions); i++ {
+			d.forwardModuleAction(now, ev, &actions[i])
 		}
 		plannerActions := d.plannerActions
 		d.plannerActions = nil
 		for k := range plannerActions {
-			acts = d.applyPlannerAction(now, &plannerActions[k], acts)
+			actions = d.applyPlannerAction(now, &plannerActions[k], actions)
 		}
 		if len(d.plannerActions) == 0 {
 			d.plannerActions = plannerActions[:0]
 		}
 	}
-	return acts
+	return actions
 }
 
 // forwardModuleAction passes one action of the module to the planner.
@@ -150,11 +150,11 @@
 
 // applyPlannerAction applies one action of the planner: it requests a timer, or updates the
 // reservation at a target in the module.
-func (d *Decider) applyPlannerAction(now time.Duration, action *room.Action, acts []balance.Action) []balance.Action {
+func (d *Decider) applyPlannerAction(now time.Duration, action *room.Action, actions []balance.Action) []balance.Action {
 	d.event = balance.Event{Kind: balance.Kept, Worker: action.Target, Request: action.Flow}
 	switch action.Kind {
 	case room.Wake:
-		return append(acts, balance.Action{Kind: balance.Wake, Timer: plannerTimer, After: max(0, durationOf(action.At)-now)})
+		return append(actions, balance.Action{Kind: balance.Wake, Timer: plannerTimer, After: max(0, durationOf(action.At)-now)})
 	case room.Reserve:
 		keep := &balance.Keep{Request: action.Flow, Spare: action.SpareSlots, Most: action.BackfillSlots}
 		for i, until := range action.BackfillUntil {
@@ -167,7 +167,7 @@
 		}
 		d.event.Keep = keep
 	}
-	return d.module.Step(now, &d.event, acts)
+	return d.module.Step(now, &d.event, actions)
 }
 
 // updatePlannerTargets passes a list of targets, or changes to it, to the planner.
@@ -218,14 +218,14 @@
 }
 
 // plannerDue passes the planner's timer to it and applies the resulting actions.
-func (d *Decider) plannerDue(now time.Duration, acts []balance.Action) []balance.Action {
+func (d *Decider) plannerDue(now time.Duration, actions []balance.Action) []balance.Action {
 	if d.planner == nil {
-		return acts
+		return actions
 	}
-	first := len(acts)
+	first := len(actions)
 	d.notifyPlanner(now, room.Event{Kind: room.TimerDue})
 	d.event = balance.Event{Kind: balance.TimerDue}
-	return d.exchangeActions(now, &d.event, first, acts)
+	return d.exchangeActions(now, &d.event, first, actions)
 }
 
 // collectReservations lists this scheduler's reservations for the next full state.
@@ -240,12 +240,12 @@
 }
 
 // applyPeerState passes the loads and reservations of another scheduler to the module and the planner.
-func (d *Decider) applyPeerState(now time.Duration, peer int, reservations []gossip.Reservation, acts []balance.Action) []balance.Action {
-	first := len(acts)
+func (d *Decider) applyPeerState(now time.Duration, peer int, reservations []gossip.Reservation, actions []balance.Action) []balance.Action {
+	first := len(actions)
 	d.event = balance.Event{Kind: balance.PeerSpoke, Who: peer, Loads: d.peerLoads[peer]}
-	acts = d.module.Step(now, &d.event, acts)
+	actions = d.module.Step(now, &d.event, actions)
 	if d.planner == nil {
-		return acts
+		return actions
 	}
 	for _, id := range d.peerTargets[peer] {
 		d.measureTarget(now, id, nil)
@@ -263,5 +263,5 @@
 	}
 	d.notifyPlanner(now, room.Event{Kind: room.PeerReserved, Peer: peer, Reservations: d.peerReservations})
 	d.event = balance.Event{Kind: balance.PeerSpoke}
-	return d.exchangeActions(now, &d.event, first, acts)
+	return d.exchangeActions(now, &d.event, first, actions)
 }
