--- a/balance/answer.go
+++ b/balance/answer.go
@@ -5,71 +5,73 @@
 	"time"
 )
 
-// Final answers: which one may be given.
+// This file decides on final responses without a result: which kind and which reason.
 
-// answer gives the final answer: a refusal where it may be given, else a failure.
-func (b *Balancer) answer(now time.Duration, r *request, reason Reason) {
-	r.class.met -= metShare * r.class.met
+// reject sends the final response for a request that was not served: a refusal if allowed, else a failure. It
+// counts the request as not served for its class.
+func (b *Balancer) reject(now time.Duration, r *request, reason Reason) {
+	r.class.servedShare -= servedSmoothing * r.class.servedShare
 	if b.mayRefuse(r) {
-		b.do(Action{Kind: Refuse, Request: r.id, After: b.s.MaxRetryAfter, Reason: reason})
+		b.emit(Action{Kind: Refuse, Request: r.id, After: b.settings.MaxRetryAfter, Reason: reason})
 	} else {
-		b.do(Action{Kind: Fail, Request: r.id, Reason: reason})
+		b.emit(Action{Kind: Fail, Request: r.id, Reason: reason})
 	}
 	b.close(now, r, AnswerGiven)
 }
 
+// mayRefuse reports whether a client may retry r without harm, which a refusal promises.
 func (b *Balancer) mayRefuse(r *request) bool {
 	c := r.class
-	return c.Effect == Safe || c.Effect == Keyed && c.Scope == ScopeAll || b.mayHaveRun(r) == nil
+	return c.Effect == Safe || c.Effect == Keyed && c.Scope == ScopeAll || b.firstMayHaveRun(r) == nil
 }
 
-// mayHaveRun returns the first attempt that may have run or still may.
-func (b *Balancer) mayHaveRun(r *request) *attempt {
-	i := slices.IndexFunc(r.attempts, func(a attempt) bool { return a.out || !b.neverRan(a.result) })
+// firstMayHaveRun returns the first attempt that may have run or may still run, or nil if there is none.
+func (b *Balancer) firstMayHaveRun(r *request) *attempt {
+	i := slices.IndexFunc(r.attempts, func(a attempt) bool { return a.inFlight || !b.neverRan(a.result) })
 	if i < 0 {
 		return nil
 	}
 	return &r.attempts[i]
 }
 
-// neverRan says whether a result proves that the attempt did not run. Workers that shed work which they had
-// begun make 'full' no proof; the settings say so.
+// neverRan reports whether a result proves that the attempt did not run. 'Full' is no proof if workers also
+// shed work that they had begun, which FullMayHaveRun states.
 func (b *Balancer) neverRan(res Result) bool {
-	return res == Full && !b.s.FullMayHaveRun || res == NoConnection || res == NeverSent
+	return res == Full && !b.settings.FullMayHaveRun || res == NoConnection || res == NeverSent
 }
 
-// whyLate says why a request has to be answered whose time for a start, or for an answer, is over.
-func (b *Balancer) whyLate(now time.Duration, r *request) Reason {
-	mayBeSentTo := func(w *worker) bool { return w.State == Ready }
+// lateReason returns the reason for rejecting a request whose latest start or latest response has passed.
+func (b *Balancer) lateReason(now time.Duration, r *request) Reason {
+	isReady := func(w *worker) bool { return w.State == Ready }
 	switch {
-	case r.held && !slices.ContainsFunc(b.ring, mayBeSentTo):
+	case r.queued && !slices.ContainsFunc(b.ring, isReady):
 		return NoTarget
-	case r.held:
+	case r.queued:
 		return NoRoom
-	case now >= r.answerBy:
+	case now >= r.respondBy:
 		return OutOfTime
 	}
 	return NotStarted
 }
 
-// whyNoFurther says why there may be no further attempt after one that ended with a result; empty if there
-// may be.
-func (b *Balancer) whyNoFurther(now time.Duration, r *request, last Result) Reason {
+// noRetryReason returns why there may be no further attempt after one that ended with lastResult. It returns
+// the empty Reason if there may be one.
+func (b *Balancer) noRetryReason(now time.Duration, r *request, lastResult Result) Reason {
 	switch {
-	case now >= r.answerBy:
+	case now >= r.respondBy:
 		return OutOfTime
-	case r.outs > 0:
+	case r.inFlight > 0:
 		return ""
-	case len(r.attempts) >= r.class.attempts:
+	case len(r.attempts) >= r.class.maxAttempts:
 		return AttemptsOver
-	case now >= r.hopeBy:
+	case now >= r.usefulStartBy:
 		return NoRoom
-	case b.retries < 0:
+	case b.retryTokens < 0:
 		return BudgetOver
-	case r.class.Effect == Unsafe && b.mayHaveRun(r) != nil:
+	case r.class.Effect == Unsafe && b.firstMayHaveRun(r) != nil:
 		return MayHaveRun
-	case last == Full && !b.s.TellsStart:
-		// Where no start is told, to try on would fill every queue until all answers are late.
+	case lastResult == Full && !b.settings.TellsStart:
+		// Without start reports, further attempts would fill every queue until all responses are late.
 		return TargetFull
 	}
 	return ""
--- a/balance/api.go
+++ b/balance/api.go
@@ -1,10 +1,16 @@
-// Package balance decides, for one dispatcher, which worker each job goes to,
-// when it waits, when it is tried again and when it is refused.
+// Package balance decides, for one dispatcher, which worker each request goes to, when it waits, when it is
+// retried and when it is refused. A dispatcher is one scheduler of a fleet; a worker is a target that runs jobs.
 //
-// This file is the interface: settings, events and actions. The decisions are
-// in the files beside it, by concern. The package is a state machine without I/O: it reads no
-// clock, starts no goroutine and keeps no global state, so the same settings,
-// seed and events always give the same actions.
+// The host gives a Balancer its settings and a random seed, then passes each event to Step: an arrived request,
+// an attempt that started or ended, a change of the worker list, a message of another dispatcher, a timer. Step
+// returns the actions that the host must carry out in order, such as starting an attempt, refusing a request or
+// setting a timer.
+//
+// The package is a state machine without I/O. It opens no connections, reads no clock, starts no goroutine and
+// keeps no global state. The same settings, seed and events always give the same actions. A Balancer is not
+// safe for concurrent use.
+//
+// This file defines the settings, events and actions. The other files hold the decisions, one concern each.
 package balance
 
 import (
@@ -13,17 +19,17 @@
 	"time"
 )
 
-// Effect says what repeating a request would do.
+// Effect is the effect of running a request more than once.
 type Effect int
 
-// The kinds of effect a class may have.
+// The effects that a class may have.
 const (
 	Safe   Effect = iota // may be repeated freely
-	Keyed                // repeats are dropped by one group of workers for a while
+	Keyed                // one group of workers drops repeats for a limited time
 	Unsafe               // must not run twice
 )
 
-// Scope names the group of workers that together drop repeats of a keyed request.
+// Scope is the group of workers that together drop repeats of a keyed request.
 type Scope int
 
 // The scopes of a keyed class.
@@ -38,15 +44,15 @@
 	Name     string
 	Effect   Effect
 	Scope    Scope         // for Keyed
-	Window   time.Duration // for Keyed: how long repeats are remembered
-	Aim      time.Duration // the answer is wanted within Aim + Stretch x own work
+	Window   time.Duration // for Keyed: how long workers remember a request and drop its repeats
+	Aim      time.Duration // the latency target is Aim + Stretch x the time that the request's own work takes
 	Stretch  float64
-	Deadline time.Duration // the client's patience over all its tries
-	Worth    float64
-	Late     float64 // share of Worth that an answer after the aim still earns
-	Kind     string  // machine kind required, or empty
-	Stream   bool    // the answer is streamed
-	InOrder  bool    // requests of one key run one at a time, in the order in which they were taken
+	Deadline time.Duration // client timeout over all tries
+	Worth    float64       // value of a response within the latency target
+	Late     float64       // share of Worth that a response after the latency target still earns
+	Kind     string        // machine kind required, or empty
+	Stream   bool          // the response is streamed
+	InOrder  bool          // requests of one key run one at a time, in the order in which they were accepted
 }
 
 // Prices are the points of service lost for each unit of a cost.
@@ -54,113 +60,113 @@
 	CrossZone, Waste, LateFail, Handshake, Connection, Probe, Fetch float64
 }
 
-// Goal holds the weights of the parts of the result.
+// Goal holds the weights of the parts of the overall score.
 type Goal struct {
 	Whole, WorstWindow, WorstClass float64
 }
 
-// Settings are what a dispatcher is told at its start.
+// Settings are what a dispatcher is configured with at its start.
 type Settings struct {
 	Self, Fleet    int    // number of this dispatcher, and how many there are
-	Zone           string // its zone
+	Zone           string // zone of this dispatcher
 	Classes        []Class
-	Tick           time.Duration // the host's smallest step of time
-	ByWork         bool          // worth is counted for each unit of work
-	ReportsFree    bool          // reports carry free slots
-	TellsStart     bool          // workers tell when a job starts
-	ProgressEvery  time.Duration // interval of progress notes, 0 for none
-	Subscribe      bool          // the worker list must be asked for
-	MaxAttempts    int
-	Duplicates     bool          // two attempts of a request may be outstanding at once
+	Tick           time.Duration // time resolution of the host
+	ByWork         bool          // Worth counts for each unit of work
+	ReportsFree    bool          // reports carry the number of free slots
+	TellsStart     bool          // workers report the start of a job
+	ProgressEvery  time.Duration // interval of progress reports; 0 for none
+	Subscribe      bool          // the dispatcher must query discovery for the worker list
+	MaxAttempts    int           // attempts of one request, the first included
+	Duplicates     bool          // two attempts of a request may be in flight at once
 	Cancel         bool          // attempts may be cancelled
 	Probes         bool          // workers may be probed
 	Peers          bool          // dispatchers may send one another short messages, which may be lost
-	MaxRetryAfter  time.Duration // the longest advice to stay away that clients honour, 0 if they hear none
+	MaxRetryAfter  time.Duration // longest retry-after that clients honour; 0 if they honour none
 	StreamsPerConn int
-	ConnIdle       time.Duration
+	ConnIdle       time.Duration // idle time after which a connection is closed
 	DialTimeout    time.Duration
 	Prices         Prices
 	Goal           Goal
-	AnswerSlack    time.Duration // a final answer may come this long after the deadline
-	AskWithin      time.Duration // without asking for this long, the list counts as known
-	ColdFrom       float64       // a worker starts with this share of its capacity
-	ColdFor        time.Duration // and is warm after this time at the latest
+	AnswerSlack    time.Duration // time after the deadline within which a final response is still accepted
+	AskWithin      time.Duration // the list counts as known once no query was sent for this long
+	ColdFrom       float64       // share of its capacity that a worker has at its start
+	ColdFor        time.Duration // time after its start at which a worker is warm at the latest
 	DrainGrace     time.Duration
-	FallMultiple   float64 // a cold worker sent this multiple of its capacity
-	FallWindow     time.Duration
+	FallMultiple   float64       // a cold worker that is sent this multiple of its capacity collapses
+	FallWindow     time.Duration // window over which FallMultiple is measured
 	MarksRepeat    bool          // clients mark their later tries
-	OrderRest      time.Duration // InOrder: a key rests so long after an attempt that may still run
-	ExtraFree      float64       // attempts beyond each request's first in a window: so many
-	ExtraRatio     float64       // and this share of the requests taken in it
-	ExtraWindow    time.Duration // that window; 0 for no such limit
-	FullMayHaveRun bool          // workers answer 'full' for work that they had begun, too
-	Tenants        []Tenant      // those with shares of the fleet
-	BeyondWorth    float64       // share of a request's worth that it has beyond its tenant's share
+	OrderRest      time.Duration // InOrder: pause of a key after an attempt that may still run
+	ExtraFree      float64       // attempts beyond each request's first that are allowed in a window
+	ExtraRatio     float64       // further attempts allowed for each request accepted in the window
+	ExtraWindow    time.Duration // length of that window; 0 for no limit
+	FullMayHaveRun bool          // workers respond 'full' to work that they had begun, too
+	Tenants        []Tenant      // tenants with shares of the fleet
+	BeyondWorth    float64       // share of its value that a request beyond its tenant's share keeps
 }
 
-// apart says whether there are other dispatchers whose work this one does not hear of.
-func (s *Settings) apart() bool { return !s.Peers && s.Fleet > 1 }
+// isolated reports whether there are other dispatchers whose load this one receives no messages about.
+func (s *Settings) isolated() bool { return !s.Peers && s.Fleet > 1 }
 
-// Tenant has a share of what the fleet serves.
+// Tenant has a share of the requests that the fleet serves.
 type Tenant struct {
 	Name      string
-	Allowance float64 // requests a second that lie within it, at all dispatchers together
+	Allowance float64 // requests a second that are within its share, over all dispatchers
 }
 
-// check returns an error that says which settings are impossible.
-func (s *Settings) check() error {
+// validate returns an error that names the first impossible setting, or nil.
+func (s *Settings) validate() error {
 	switch {
 	case s.Fleet < 1 || s.Self < 0 || s.MaxAttempts < 1 || len(s.Classes) == 0:
-		return fmt.Errorf("balance: dispatcher %d of %d, %d attempts allowed, %d classes",
+		return fmt.Errorf("balance: impossible settings: dispatcher %d of %d, %d attempts allowed, %d classes",
 			s.Self, s.Fleet, s.MaxAttempts, len(s.Classes))
 	case !(s.ColdFrom > 0 && s.ColdFrom <= 1 && s.FallMultiple > 0) || min(s.ColdFor, s.FallWindow) < 0:
-		return fmt.Errorf("balance: cold rule with share ColdFrom %g, ColdFor %v, FallMultiple %g, FallWindow %v",
+		return fmt.Errorf("balance: impossible settings for cold workers: ColdFrom %g, ColdFor %v, FallMultiple %g, FallWindow %v",
 			s.ColdFrom, s.ColdFor, s.FallMultiple, s.FallWindow)
 	case min(s.Tick, s.AnswerSlack, s.AskWithin, s.DrainGrace) < 0:
-		return fmt.Errorf("balance: a negative time: Tick %v, AnswerSlack %v, AskWithin %v, DrainGrace %v",
+		return fmt.Errorf("balance: negative duration: Tick %v, AnswerSlack %v, AskWithin %v, DrainGrace %v",
 			s.Tick, s.AnswerSlack, s.AskWithin, s.DrainGrace)
 	case !(s.ExtraFree >= 0 && s.ExtraRatio >= 0) || s.ExtraWindow < 0:
-		return fmt.Errorf("balance: budget of further attempts with ExtraFree %g, ExtraRatio %g, ExtraWindow %v",
+		return fmt.Errorf("balance: impossible budget of further attempts: ExtraFree %g, ExtraRatio %g, ExtraWindow %v",
 			s.ExtraFree, s.ExtraRatio, s.ExtraWindow)
 	case !(s.BeyondWorth >= 0):
-		return fmt.Errorf("balance: worth beyond a share is %g", s.BeyondWorth)
+		return fmt.Errorf("balance: impossible BeyondWorth %g", s.BeyondWorth)
 	case s.OrderRest < 0:
-		return fmt.Errorf("balance: a key that rests for OrderRest %v", s.OrderRest)
+		return fmt.Errorf("balance: negative OrderRest %v", s.OrderRest)
 	}
 	for i, c := range s.Classes {
 		if min(c.Aim, c.Window, c.Deadline-1) < 0 || !(c.Worth >= 0 && c.Stretch >= 0) ||
 			slices.ContainsFunc(s.Classes[:i], func(x Class) bool { return x.Name == c.Name }) {
-			return fmt.Errorf("balance: class %q is there twice or has an impossible figure", c.Name)
+			return fmt.Errorf("balance: class %q is defined twice or has an impossible value", c.Name)
 		}
 	}
 	return nil
 }
 
-// EventKind tells events apart.
+// EventKind is the kind of an event.
 type EventKind int
 
-// The kinds of events.
+// The kinds of events, with the fields that each uses.
 const (
-	Arrived   EventKind = iota // a request: Request, Class, Key, Budget, Hint, Slots, Repeat
-	Departed                   // its client left, or its time is over: Request
+	Arrived   EventKind = iota // a request arrived: Request, Class, Key, Budget, Hint, Slots, Repeat
+	Departed                   // the client left or its time is over: Request
 	Ended                      // an attempt ended: Request, Attempt, Worker, Result, Final, Elapsed, Report
-	Noted                      // news of an attempt: Request, Attempt, Worker, Started or Fraction
-	Streaming                  // a streamed answer has begun: Request, Attempt, Worker
-	Listed                     // the worker list: Scope, Members
-	Probed                     // the answer to a probe: Worker, Result, Elapsed, Report
-	TimerDue                   // a timer came due: Timer
-	PeerSpoke                  // what another dispatcher has out: Who, Loads
-	Kept                       // room is held or let go at a worker: Worker, Request, Keep
-	Judged                     // by one scheduler for all: Worker gets nothing for Elapsed; 0: it may be tried again
-	Ruled                      // what the schedulers agreed on: Caps, Cold
-	Answered                   // discovery has answered another dispatcher lately
-	Shared                     // likewise, for Elapsed: the Parts of what tenants ask that lie within their shares
+	Noted                      // an attempt reported progress: Request, Attempt, Worker, Started or Fraction
+	Streaming                  // a streamed response has begun: Request, Attempt, Worker
+	Listed                     // the worker list: List, Members
+	Probed                     // the response to a probe: Worker, Result, Elapsed, Report
+	TimerDue                   // a timer fired: Timer
+	PeerSpoke                  // another dispatcher announced its load: Who, Loads
+	Kept                       // capacity of a worker was reserved, or released if Keep is nil: Worker, Request, Keep
+	Judged                     // a decision for all schedulers: Worker gets no jobs for Elapsed; 0: it may be tried
+	Ruled                      // the limits that the schedulers agreed on: Caps, Cold
+	Answered                   // discovery recently sent a response to another dispatcher
+	Shared                     // a decision for all schedulers, valid for Elapsed: Parts of demand within the tenants' shares
 )
 
-// Result says how an attempt or a probe ended.
+// Result is the outcome of an attempt or a probe.
 type Result int
 
-// The results. What each proves about the attempt is for the module to say.
+// The results. This package decides what each proves about the attempt.
 const (
 	OK Result = iota
 	Failed
@@ -174,6 +180,7 @@
 
 var resultNames = [...]string{"served", "failed", "full", "timed out", "no connection", "reset", "cancelled", "never sent"}
 
+// String returns the name of the result for logs.
 func (r Result) String() string {
 	if r < 0 || int(r) >= len(resultNames) {
 		return fmt.Sprintf("result %d", int(r))
@@ -181,26 +188,26 @@
 	return resultNames[r]
 }
 
-// ListScope says what a worker list holds.
+// ListScope is the content of a worker list.
 type ListScope int
 
 // The scopes of a worker list.
 const (
 	Changes   ListScope = iota // changed entries only
 	Whole                      // the complete list
-	FromDisk                   // the complete list as last held, perhaps stale
-	AskFailed                  // a call failed or the subscription broke; no entries
+	FromDisk                   // the complete list as last stored, perhaps stale
+	AskFailed                  // a query failed or the watch ended; no entries
 )
 
-// State is a worker's state in the list.
+// State is the state of a worker in the list.
 type State int
 
-// The states.
+// The states of a worker.
 const (
 	Ready State = iota
 	Draining
 	Gone
-	Suspended // listed, and nothing may be sent to it until it is told to be Ready again
+	Suspended // listed, but nothing may be sent to it until it is listed as Ready again
 )
 
 // Member is an entry of the worker list.
@@ -208,33 +215,33 @@
 	ID, Zone, Kind, Cell string
 	State                State
 	Weight               float64
-	Started              time.Duration // clock time of the last start, 0 for long ago
-	Classes              string        // names of those that it can run, a comma before and behind each; empty: all
+	Started              time.Duration // clock time of the last start; 0 for long ago
+	Classes              string        // names of the classes that it runs, with a comma before and after each; empty: all
 }
 
-// Report holds a worker's figures; a figure not reported is below 0.
+// Report holds the load figures of a worker. A figure that was not reported is below 0.
 type Report struct {
 	Present                 bool
 	InFlight, Waiting, Free float64
-	Memory                  float64 // free memory, in units of one slot's usual share; 0 where none is reported
+	Memory                  float64 // free memory, in units of the usual share of one slot; 0 if not reported
 }
 
-// Keep is room that is held at a worker for one request, and what may go there beside it.
+// Keep is a reservation of a worker's capacity for one request, with the limits for other requests at that worker.
 type Keep struct {
-	Request uint64                   // for whom; 0: for another dispatcher's
-	Spare   float64                  // a job of so many slots takes nothing of it
-	Most    float64                  // one of so many ends in time, if it is sent
-	Last    map[string]time.Duration // by class, until then
+	Request uint64                   // the request that it is for; 0: a request of another dispatcher
+	Spare   float64                  // slots that other requests may take without touching the reservation
+	Most    float64                  // slots of the largest request that ends before the reservation starts
+	Last    map[string]time.Duration // by class: latest time to send a request of up to Most slots
 }
 
-// Event is one thing that happened. Which fields count depends on Kind.
+// Event is one thing that happened. Kind determines which fields are used.
 type Event struct {
 	Kind     EventKind
 	Request  uint64
 	Attempt  int
 	Worker   string
 	Result   Result
-	Final    bool // the request has its final answer
+	Final    bool // the request has its final response
 	Elapsed  time.Duration
 	Report   Report
 	Started  bool
@@ -242,44 +249,44 @@
 	Class    string
 	Key      string        // subject of the request, or empty
 	Budget   time.Duration // time until the client leaves
-	Hint     time.Duration // expected work, 0 when unknown
+	Hint     time.Duration // expected work; 0 if unknown
 	Slots    float64
 	Repeat   bool
-	First    bool // surely no later try, whatever its budget
-	Priority int  // held requests of a higher one go first; 0 is the usual
+	First    bool // certainly the client's first try, whatever its Budget
+	Priority int  // queued requests of a higher priority go first; 0 is usual
 	List     ListScope
 	Members  []Member
-	Local    bool // Listed: this scheduler's own doing, not an answer of discovery
+	Local    bool // Listed: a change made by this scheduler, not a response of discovery
 	Timer    uint64
-	Who      int                // number of the dispatcher that speaks
-	Raw      string             // what it says, any bytes: for those who host the module
-	Loads    map[string]float64 // what that means: slots out, by worker
-	Keep     *Keep              // nil: let go
+	Who      int                // number of the dispatcher that sent the message
+	Raw      string             // its message, any bytes; for the host
+	Loads    map[string]float64 // the decoded message: slots that its attempts take, by worker
+	Keep     *Keep              // nil: the reservation is released
 	Tenant   string
-	Parts    map[string]float64 // by tenant; none: all of it
-	Caps     map[string]int     // by class, attempts of a request; none: as the settings have it
-	Cold     float64            // part of what a cold worker may be sent by the settings
-	Memory   float64            // units of memory that it needs, 0 when unknown
+	Parts    map[string]float64 // by tenant; a tenant without an entry: all of it
+	Caps     map[string]int     // by class: attempts of a request; no entry: MaxAttempts applies
+	Cold     float64            // part of the load that the settings allow for a cold worker
+	Memory   float64            // units of memory that the request needs; 0 if unknown
 }
 
-// ActionKind tells actions apart.
+// ActionKind is the kind of an action.
 type ActionKind int
 
-// The kinds of actions.
+// The kinds of actions, with the fields that each uses.
 const (
-	Send      ActionKind = iota // begin an attempt: Request, Worker, After is its time-out (0: none)
-	Refuse                      // final: a retry does no harm: Request, After is advice (0: none)
-	Fail                        // final, without a promise: Request
+	Send      ActionKind = iota // start an attempt: Request, Worker, After is its timeout (0: none)
+	Refuse                      // final response, a retry does no harm: Request, After is the retry-after (0: none)
+	Fail                        // final response without that guarantee: Request
 	Cancel                      // stop waiting for an attempt: Request, Attempt
-	Wake                        // ask for TimerDue after After: Timer
+	Wake                        // deliver TimerDue after After: Timer
 	Probe                       // probe Worker
-	Subscribe                   // ask for the list and its changes
-	Say                         // a line for the log: Text
-	Tell                        // a message to other dispatchers: Raw, at most 256 bytes, and To
-	Doubt                       // for whoever examines: Worker gets no jobs for a while, as it is silent, or Failing
+	Subscribe                   // query discovery for the list and watch its changes
+	Say                         // write Text to the log
+	Tell                        // send a message to other dispatchers: Raw, at most 256 bytes, and To
+	Doubt                       // report a suspicion: Worker gets no jobs for a while, as it is silent, or Failing
 )
 
-// Action is one thing the host must do, in order. Which fields count depends on Kind.
+// Action is one thing that the host must do. Actions are done in order. Kind determines which fields are used.
 type Action struct {
 	Kind    ActionKind
 	Request uint64
@@ -289,7 +296,7 @@
 	Timer   uint64
 	Text    string
 	Raw     string
-	To      []int // numbers of dispatchers; nil: every other
+	To      []int // numbers of the receiving dispatchers; nil: every other
 	Failing bool
 	Reason  Reason // of Refuse, Fail and Cancel
 }
--- a/balance/asking.go
+++ b/balance/asking.go
@@ -5,105 +5,123 @@
 	"time"
 )
 
-// How calls for the worker list are paced. Discovery is one service for the whole fleet, takes calls in
-// turn, and works on those that were given up, too: a fleet that calls at once, or more often than it can
-// answer, keeps it busy with calls that fail.
+// Pacing of the queries for the worker list. Discovery is one service for the whole fleet. It processes
+// queries one after the other, abandoned ones too. A fleet that queries at once, or faster than discovery can
+// respond, keeps discovery busy with queries that fail.
 const (
-	reopenLeast = 100 * time.Millisecond // from the end of a watch to the next call, up to
-	reopenMost  = 300 * time.Millisecond // in a small fleet, and in a large one
-	reopenEach  = 100 * time.Millisecond // for each dispatcher, up to
-	reopenLast  = 6 * time.Second
-	startMany   = 20                    // dispatchers, from which on first calls are spread
-	startEach   = 50 * time.Millisecond // for each dispatcher, up to
-	startLast   = 3 * time.Second
-	repeatMean  = 4 * time.Second        // from a call that failed to the next; doubled with each further,
-	repeatEach  = 100 * time.Millisecond // up to this for each dispatcher, where others pass words on
-	repeatShare = 0.5                    // of the mean, at random less or more
-	early       = time.Millisecond       // by which a timer may ring: hosts round
+	// After the end of a watch the next query waits at least watchReopenMin. The longest wait is
+	// watchReopenPerDispatcher for each dispatcher, between watchReopenMaxSmall and watchReopenMaxLarge.
+	watchReopenMin           = 100 * time.Millisecond
+	watchReopenMaxSmall      = 300 * time.Millisecond
+	watchReopenPerDispatcher = 100 * time.Millisecond
+	watchReopenMaxLarge      = 6 * time.Second
+
+	// Isolated dispatchers spread their first query if there are at least firstQuerySpreadFleet of them. The
+	// longest wait is firstQueryPerDispatcher for each dispatcher, but not over firstQueryMax.
+	firstQuerySpreadFleet   = 20
+	firstQueryPerDispatcher = 50 * time.Millisecond
+	firstQueryMax           = 3 * time.Second
+
+	// After a failed query the mean wait is queryRetryMean. Where dispatchers exchange messages it doubles
+	// with each further failure, up to queryRetryPerDispatcher for each dispatcher.
+	queryRetryMean          = 4 * time.Second
+	queryRetryPerDispatcher = 100 * time.Millisecond
+	queryRetryJitter        = 0.5 // largest random deviation, as a share of the mean
+
+	timerTolerance = time.Millisecond // a timer may fire this much early, as hosts round
 )
 
-// asking is when this dispatcher calls discovery for the list.
-type asking struct {
-	out      bool // a call is out, or its watch is open
-	answered bool // by discovery, and the watch has not ended since
-	hinted   bool // another dispatcher was answered since this one was
-	failures int  // calls in a row that failed
-	due      time.Duration
+// discoveryPacer decides when this dispatcher queries discovery for the worker list.
+type discoveryPacer struct {
+	outstanding  bool // a query is in flight or its watch is open
+	listReceived bool // discovery sent a list, and the watch has not ended since
+	peerHintUsed bool // a hint brought a query forward since discovery last sent this dispatcher a list
+	failures     int  // failed queries in a row
+	nextAt       time.Duration
 }
 
-// start returns how long to wait before the first call: many may start at once, where each has to be
-// answered itself.
-func (a *asking) start(now time.Duration, s *Settings, rng *rand.Rand) time.Duration {
-	if !s.apart() || s.Fleet < startMany {
+// firstDelay returns the wait before the first query. It spreads the queries of many isolated dispatchers
+// that start at once, as each of them needs its own response.
+func (p *discoveryPacer) firstDelay(now time.Duration, s *Settings, rng *rand.Rand) time.Duration {
+	if !s.isolated() || s.Fleet < firstQuerySpreadFleet {
 		return 0
 	}
-	wait := time.Duration(rng.Float64() * float64(min(time.Duration(s.Fleet)*startEach, startLast)))
-	a.due = now + wait
+	wait := time.Duration(rng.Float64() *
+		float64(min(time.Duration(s.Fleet)*firstQueryPerDispatcher, firstQueryMax)))
+	p.nextAt = now + wait
 	return wait
 }
 
-// begin notes that a call goes out, and says whether it may.
-func (a *asking) begin() bool {
-	if a.out {
+// begin records the start of a query. It returns false if one is outstanding already.
+func (p *discoveryPacer) begin() bool {
+	if p.outstanding {
 		return false
 	}
-	a.out = true
+	p.outstanding = true
 	return true
 }
 
-// heard notes a list of discovery's.
-func (a *asking) heard() { *a = asking{out: a.out, answered: true} }
+// received records a list sent by discovery.
+func (p *discoveryPacer) received() {
+	*p = discoveryPacer{outstanding: p.outstanding, listReceived: true}
+}
 
-// failed notes that a call failed or its watch ended, and returns how long to wait before the next one.
-// Without a time to ask within the agent that answers is this machine's, and is asked again soon.
-func (a *asking) failed(now time.Duration, s *Settings, rng *rand.Rand) time.Duration {
-	wait := a.repeat(s, rng)
-	if a.answered {
-		wait = reopen(s.Fleet, rng)
+// failed records that a query failed or its watch ended, and returns the wait before the next query. If
+// AskWithin is 0, discovery is an agent on this machine and is queried again soon.
+func (p *discoveryPacer) failed(now time.Duration, s *Settings, rng *rand.Rand) time.Duration {
+	wait := p.retryDelay(s, rng)
+	if p.listReceived {
+		wait = watchReopenDelay(s.Fleet, rng)
 	}
-	a.out, a.answered = false, false
+	p.outstanding, p.listReceived = false, false
 	wait = min(wait, max(time.Second/10, 2*s.AskWithin))
-	a.due = now + wait
+	p.nextAt = now + wait
 	return wait
 }
 
-// repeat is the wait after one more call that failed.
-func (a *asking) repeat(s *Settings, rng *rand.Rand) time.Duration {
-	most := repeatMean
-	if !s.apart() {
-		most = max(most, time.Duration(s.Fleet)*repeatEach)
+// retryDelay returns the wait after one more failed query.
+func (p *discoveryPacer) retryDelay(s *Settings, rng *rand.Rand) time.Duration {
+	longest := queryRetryMean
+	if !s.isolated() {
+		longest = max(longest, time.Duration(s.Fleet)*queryRetryPerDispatcher)
 	}
-	mean := repeatMean
-	for n := 0; n < a.failures && mean < most; n++ {
+	mean := queryRetryMean
+	for n := 0; n < p.failures && mean < longest; n++ {
 		mean *= 2
 	}
-	a.failures++
-	return between(min(mean, most), repeatShare, rng)
+	p.failures++
+	return jitter(min(mean, longest), queryRetryJitter, rng)
 }
 
-// reopen is the wait after a watch ended: that of the others ended with it.
-func reopen(fleet int, rng *rand.Rand) time.Duration {
-	most := max(reopenMost, min(time.Duration(fleet)*reopenEach, reopenLast))
-	return reopenLeast + time.Duration(rng.Float64()*float64(most-reopenLeast))
+// watchReopenDelay returns the wait after a watch ended. It is random, as the watches of all dispatchers end
+// together.
+func watchReopenDelay(fleet int, rng *rand.Rand) time.Duration {
+	longest := max(watchReopenMaxSmall,
+		min(time.Duration(fleet)*watchReopenPerDispatcher, watchReopenMaxLarge))
+	return watchReopenMin + time.Duration(rng.Float64()*float64(longest-watchReopenMin))
 }
 
-// isDue says whether it is time for the next call.
-func (a *asking) isDue(now time.Duration) bool { return now >= a.due-early }
+// isDue reports whether it is time for the next query.
+func (p *discoveryPacer) isDue(now time.Duration) bool { return now >= p.nextAt-timerTolerance }
 
-// hint notes that another dispatcher was answered, and returns how long to wait before the next call if
-// that is sooner now. Once between two answers of its own: discovery may answer few, and not this one.
-func (a *asking) hint(now time.Duration, fleet int, rng *rand.Rand) (wait time.Duration, sooner bool) {
-	if a.out || a.answered || a.hinted || a.failures == 0 {
+// peerHint records that discovery responded to another dispatcher. If this brings the next query forward, it
+// returns the new wait and true. It does so only once between two lists from discovery, as discovery may
+// respond to few dispatchers and not to this one.
+func (p *discoveryPacer) peerHint(
+	now time.Duration, fleet int, rng *rand.Rand,
+) (wait time.Duration, sooner bool) {
+	if p.outstanding || p.listReceived || p.peerHintUsed || p.failures == 0 {
 		return 0, false
 	}
-	a.hinted, a.failures = true, 0
-	if wait = reopen(fleet, rng); now+wait >= a.due {
+	p.peerHintUsed, p.failures = true, 0
+	if wait = watchReopenDelay(fleet, rng); now+wait >= p.nextAt {
 		return 0, false
 	}
-	a.due = now + wait
+	p.nextAt = now + wait
 	return wait, true
 }
 
-func between(mean time.Duration, share float64, rng *rand.Rand) time.Duration {
+// jitter returns a random duration that differs from mean by at most share x mean.
+func jitter(mean time.Duration, share float64, rng *rand.Rand) time.Duration {
 	return time.Duration(float64(mean) * (1 - share + 2*share*rng.Float64()))
 }
--- a/balance/asking_test.go
+++ b/balance/asking_test.go
@@ -101,7 +101,7 @@
 	}
 	call := func(wait time.Duration) {
 		t.Helper()
-		if now += wait; find(b.Step(now, &Event{Kind: TimerDue, Timer: askTimer}, nil), Subscribe) == nil {
+		if now += wait; find(b.Step(now, &Event{Kind: TimerDue, Timer: discoveryTimer}, nil), Subscribe) == nil {
 			t.Fatal("not asked")
 		}
 	}
@@ -173,7 +173,7 @@
 		t.Fatal(err)
 	}
 	asked := func(at time.Duration) bool {
-		return find(b.Step(at, &Event{Kind: TimerDue, Timer: askTimer}, nil), Subscribe) != nil
+		return find(b.Step(at, &Event{Kind: TimerDue, Timer: discoveryTimer}, nil), Subscribe) != nil
 	}
 	fails := func(at time.Duration) time.Duration {
 		return at + find(b.Step(at, &Event{Kind: Listed, List: AskFailed}, nil), Wake).After
--- a/balance/attempt.go
+++ b/balance/attempt.go
@@ -6,233 +6,253 @@
 	"time"
 )
 
-// Attempts from their begin to their end.
+// This file handles attempts from start to end.
 
+// cancel cancels attempt i of r if the settings allow it and its start is reported by its worker. An attempt
+// that is not in flight or is already cancelled is left as it is.
 func (b *Balancer) cancel(r *request, i int, reason Reason) {
 	a := &r.attempts[i]
-	if a.out && b.s.Cancel && !a.cancelled && b.s.TellsStart {
+	if a.inFlight && b.settings.Cancel && !a.cancelled && b.settings.TellsStart {
 		a.cancelled = true
-		b.do(Action{Kind: Cancel, Request: r.id, Attempt: i, Reason: reason})
+		b.emit(Action{Kind: Cancel, Request: r.id, Attempt: i, Reason: reason})
 	}
 }
 
-// maySend says whether the rules let a further attempt of r go to w.
+// maySend reports whether a further attempt of r may go to w without the risk of running a request twice.
 func (b *Balancer) maySend(now time.Duration, r *request, w *worker) bool {
 	c := r.class
-	ran := b.mayHaveRun(r)
-	if ran == nil || c.Effect == Safe {
+	previous := b.firstMayHaveRun(r)
+	if previous == nil || c.Effect == Safe {
 		return true
 	}
-	if c.Effect == Unsafe || now-ran.sentAt+2*b.s.Tick > c.Window {
+	if c.Effect == Unsafe || now-previous.sentAt+2*b.settings.Tick > c.Window {
 		return false
 	}
-	return c.Scope == ScopeAll || w.Zone == ran.to.Zone && (c.Scope == ScopeZone || w.Cell == ran.to.Cell)
+	return c.Scope == ScopeAll ||
+		w.Zone == previous.worker.Zone && (c.Scope == ScopeZone || w.Cell == previous.worker.Cell)
 }
 
+// send starts an attempt of r at w, updates the load records and schedules the first check of the attempt.
 func (b *Balancer) send(now time.Duration, r *request, w *worker) {
-	wait := b.wait(now, w, r.slots)
-	b.own(now, w, r, 1)
+	wait := b.queueWait(now, w, r.slots)
+	b.addOwnLoad(now, w, r, 1)
 	w.tokens -= r.work * r.slots
-	if w.keep != nil && !w.owns(r) {
-		w.keep.Spare -= r.slots // until it is told anew
+	if w.reservation != nil && !w.reservedFor(r) {
+		w.reservation.Spare -= r.slots // until the reservation is updated
 	}
-	// It may have to connect first. Notes that come at once tell of no slot sooner than a tick's would.
-	prompt := max(cmp.Or(b.startDelay[w.Zone], b.s.DialTimeout/4), b.s.Tick)
-	a := attempt{to: w, sentAt: now, wait: wait, out: true, lookAt: now + wait + 4*prompt + 2*b.s.Tick}
-	if !b.s.TellsStart {
-		b.short(now > r.aimBy)
-		a.lookAt = now + 2*wait + seconds(5*r.work*b.slow(w)) + b.s.ProgressEvery*5/2
+	// The attempt may have to connect first. The delay of a prompt start is at least one tick, as a faster
+	// report does not reveal a free slot any earlier.
+	promptStart := max(cmp.Or(b.startDelays[w.Zone], b.settings.DialTimeout/4), b.settings.Tick)
+	a := attempt{worker: w, sentAt: now, expectedWait: wait, inFlight: true,
+		checkAt: now + wait + 4*promptStart + 2*b.settings.Tick}
+	if !b.settings.TellsStart {
+		b.recordShortage(now > r.onTimeStartBy)
+		a.checkAt = now + 2*wait + seconds(5*r.work*b.slowness(w)) + b.settings.ProgressEvery*5/2
 	}
 	if len(r.attempts) > 0 {
-		b.extras = append(b.extras, mark{now, b.paid})
+		b.furtherAttempts = append(b.furtherAttempts, sample{now, b.earnedAttempts})
 	}
 	r.attempts = append(r.attempts, a)
-	b.do(Action{Kind: Send, Request: r.id, Worker: w.ID})
-	b.wake(now, r, min(a.lookAt, r.answerBy))
+	b.emit(Action{Kind: Send, Request: r.id, Worker: w.ID})
+	b.scheduleReview(now, r, min(a.checkAt, r.respondBy))
 }
 
-// review looks at a request whose timer came due.
+// review rejects a request whose time is over, or checks its attempts and schedules the next review.
 func (b *Balancer) review(now time.Duration, r *request) {
-	next := r.answerBy
-	running := func(a attempt) bool { return a.out && a.startAt > 0 }
-	// Without word of others' jobs nobody knows that one which waits at a worker has no chance any more.
-	if r.held || !b.s.apart() && b.s.TellsStart && !slices.ContainsFunc(r.attempts, running) {
-		next = r.hopeBy
+	next := r.respondBy
+	running := func(a attempt) bool { return a.inFlight && a.startedAt > 0 }
+	// A job that waits at a worker is rejected early only if this dispatcher receives messages about others'
+	// jobs. An isolated one cannot rule out that the job still starts in time.
+	if r.queued ||
+		!b.settings.isolated() && b.settings.TellsStart && !slices.ContainsFunc(r.attempts, running) {
+		next = r.usefulStartBy
 	}
 	if now >= next {
-		b.short(true)
-		b.answer(now, r, b.whyLate(now, r))
+		b.recordShortage(true)
+		b.reject(now, r, b.lateReason(now, r))
 		return
 	}
 	for i := range r.attempts {
-		if r.attempts[i].out {
-			next = min(next, b.look(now, r, i))
+		if r.attempts[i].inFlight {
+			next = min(next, b.checkAttempt(now, r, i))
 		}
 	}
-	b.wake(now, r, next)
+	b.scheduleReview(now, r, next)
 }
 
-// short notes whether a job found capacity too late.
-func (b *Balancer) short(late bool) {
-	b.shed -= shedShare * b.shed
+// recordShortage updates the shortage with one request, which did or did not find capacity too late.
+func (b *Balancer) recordShortage(late bool) {
+	b.shortage -= shortageSmoothing * b.shortage
 	if late {
-		b.shed += shedShare
+		b.shortage += shortageSmoothing
 	}
 }
 
-// look judges an attempt of which nothing more was heard in time, and says when to look again.
-func (b *Balancer) look(now time.Duration, r *request, i int) time.Duration {
+// checkAttempt reacts to an attempt that is missing its start or a progress report, and returns the time of
+// the next check. It may mark the worker full, eject it or retry the request elsewhere.
+func (b *Balancer) checkAttempt(now time.Duration, r *request, i int) time.Duration {
 	a := &r.attempts[i]
-	if now < a.lookAt {
-		return a.lookAt
-	}
-	a.lookAt = now + 4*b.s.Tick + time.Millisecond
-	w, patience := a.to, seconds(5*r.work*b.slow(a.to))
-	if b.s.TellsStart && a.startAt == 0 {
-		// It waits though it was sent to a free slot: w is fuller than its late reports say.
-		w.fullTo = max(w.fullTo, now+b.turnover(now, w))
-		if !a.missed {
-			a.missed = true
-			b.blind = min(blindMost, b.blind+blindStep)
+	if now < a.checkAt {
+		return a.checkAt
+	}
+	a.checkAt = now + 4*b.settings.Tick + time.Millisecond
+	w, silenceLimit := a.worker, seconds(5*r.work*b.slowness(a.worker))
+	if b.settings.TellsStart && a.startedAt == 0 {
+		// The attempt waits though it was sent to a free slot: w has more load than its late reports show.
+		w.fullUntil = max(w.fullUntil, now+b.slotTurnover(now, w))
+		if !a.startMissed {
+			a.startMissed = true
+			b.assumedLoad = min(assumedLoadMax, b.assumedLoad+assumedLoadStep)
 		}
-		// The more is out there, the sooner some word is due. A dispatcher with one job there that took the
-		// wait behind others' jobs for silence would eject workers that are well.
-		patience = seconds(4 * b.runMean * b.slow(w) / float64(max(1, w.outs)))
-		if b.s.apart() && w.outs < 3 { // nor does anybody tell it of those jobs
-			patience *= 3
+		// The more own jobs are at w, the sooner one of them should report. A dispatcher with a single job
+		// there must not take a wait behind others' jobs for silence, or it would eject healthy workers.
+		silenceLimit = seconds(4 * b.meanJobSeconds * b.slowness(w) / float64(max(1, w.inFlight)))
+		if b.settings.isolated() && w.inFlight < 3 { // no other dispatcher announces those jobs
+			silenceLimit *= 3
 		}
-	} else if b.s.ProgressEvery > 0 {
-		patience = b.s.ProgressEvery * 5 / 2
+	} else if b.settings.ProgressEvery > 0 {
+		silenceLimit = b.settings.ProgressEvery * 5 / 2
 	}
-	since := max(a.heardAt, a.sentAt+2*a.wait)
-	if now >= since+patience && w.heardAt <= since {
-		b.eject(now, w, false) // it takes work and answers nothing
+	silentSince := max(a.lastUpdateAt, a.sentAt+2*a.expectedWait)
+	if now >= silentSince+silenceLimit && w.lastSeenAt <= silentSince {
+		b.eject(now, w, false) // it accepts work and sends no responses
 	}
-	if b.s.TellsStart && a.startAt == 0 {
-		b.move(now, r, i) // last, as a copy that it sends moves the attempts
+	if b.settings.TellsStart && a.startedAt == 0 {
+		b.retryElsewhere(now, r, i) // last, as sending a duplicate may reallocate r.attempts
 	}
-	return r.attempts[i].lookAt
+	return r.attempts[i].checkAt
 }
 
-// turnover is how long w needs to free a slot.
-func (b *Balancer) turnover(now time.Duration, w *worker) time.Duration {
-	return seconds(b.runMean * b.slow(w) / max(b.slots(now, w), 1))
+// slotTurnover returns the mean time until w frees a slot.
+func (b *Balancer) slotTurnover(now time.Duration, w *worker) time.Duration {
+	return seconds(b.meanJobSeconds * b.slowness(w) / max(b.capacity(now, w), 1))
 }
 
-// move gives a request that waits in a queue another chance where there is room: by a second copy, or by
-// withdrawing the first from a worker judged unfit. From one that works that may stop nothing: the job runs
-// for nobody, and the queue that was the reason grows by it.
-func (b *Balancer) move(now time.Duration, r *request, i int) {
-	a, copies := &r.attempts[i], b.s.Duplicates
-	if len(r.attempts) >= r.class.attempts || r.class.Effect == Unsafe || a.cancelled || !b.mayRetry(now) ||
-		b.retries < 0 || copies && b.retries < retryBurst/2 || !copies && now >= a.to.ejectedTo {
+// retryElsewhere moves a request that waits in a worker's queue if another worker has capacity: it sends a
+// duplicate, or cancels the attempt if its worker is ejected. Cancelling at a healthy worker may not stop the
+// job, which would then run without a client and lengthen the queue that was the reason to move.
+func (b *Balancer) retryElsewhere(now time.Duration, r *request, i int) {
+	a, duplicates := &r.attempts[i], b.settings.Duplicates
+	if len(r.attempts) >= r.class.maxAttempts || r.class.Effect == Unsafe || a.cancelled ||
+		!b.mayRetry(now) || b.retryTokens < 0 || duplicates && b.retryTokens < retryBurst/2 ||
+		!duplicates && now >= a.worker.ejectedUntil {
 		return
 	}
 	w := b.draw(now, r)
 	if w == nil {
 		return
 	}
-	b.retries-- // given back if it starts promptly where it goes
-	if b.s.Duplicates {
+	b.retryTokens-- // returned if the duplicate starts promptly
+	if b.settings.Duplicates {
 		b.send(now, r, w)
 	} else {
 		b.cancel(r, i, UnfitTarget)
 	}
 }
 
-func (b *Balancer) find(ev *Event) (*request, *attempt) {
-	if r := b.reqs[ev.Request]; r != nil && ev.Attempt >= 0 && ev.Attempt < len(r.attempts) {
+// findAttempt returns the request and the attempt of an event, or nil if they are unknown.
+func (b *Balancer) findAttempt(ev *Event) (*request, *attempt) {
+	if r := b.requests[ev.Request]; r != nil && ev.Attempt >= 0 && ev.Attempt < len(r.attempts) {
 		return r, &r.attempts[ev.Attempt]
 	}
 	return nil, nil
 }
 
-func (b *Balancer) noted(now time.Duration, ev *Event) {
-	r, a := b.find(ev)
-	if a == nil || !a.out {
+// handleProgress processes a start or progress report of an attempt.
+func (b *Balancer) handleProgress(now time.Duration, ev *Event) {
+	r, a := b.findAttempt(ev)
+	if a == nil || !a.inFlight {
 		return
 	}
-	a.heardAt, a.lookAt = now, now+b.s.ProgressEvery*5/2
-	b.heard(now, a.to)
-	if ev.Started && a.startAt == 0 {
-		a.startAt = now
-		b.started(now, r, a)
+	a.lastUpdateAt, a.checkAt = now, now+b.settings.ProgressEvery*5/2
+	b.markAlive(now, a.worker)
+	if ev.Started && a.startedAt == 0 {
+		a.startedAt = now
+		b.handleStart(now, r, a)
 	}
 	if !r.done {
-		b.wake(now, r, min(a.lookAt, r.answerBy))
+		b.scheduleReview(now, r, min(a.checkAt, r.respondBy))
 	}
 }
 
-// started takes from the start of an attempt that its worker had a slot, and withdraws copies that wait.
-func (b *Balancer) started(now time.Duration, r *request, a *attempt) {
-	b.short(now > r.aimBy)
-	d := now - a.sentAt
-	usual := min(d, cmp.Or(b.startDelay[a.to.Zone], d)) // by zone, or all starts far away would seem missed
-	b.startDelay[a.to.Zone] = usual + (min(d, 2*usual)-usual)/64
-	if !a.missed {
-		b.blind = max(blindShare/2, b.blind-blindStep/blindOdds)
+// handleStart learns from the start of an attempt how soon its worker had a free slot, and cancels duplicates
+// that still wait.
+func (b *Balancer) handleStart(now time.Duration, r *request, a *attempt) {
+	b.recordShortage(now > r.onTimeStartBy)
+	delay := now - a.sentAt
+	// Delays are kept by zone, or every start in a distant zone would seem missed.
+	usual := min(delay, cmp.Or(b.startDelays[a.worker.Zone], delay))
+	b.startDelays[a.worker.Zone] = usual + (min(delay, 2*usual)-usual)/64
+	if !a.startMissed {
+		b.assumedLoad = max(assumedLoadStart/2, b.assumedLoad-assumedLoadStep/promptStartsPerMissed)
 		if a != &r.attempts[0] {
-			b.retries = min(retryBurst, b.retries+1)
+			b.retryTokens = min(retryBurst, b.retryTokens+1)
 		}
 	}
 	for i := range r.attempts {
-		if r.attempts[i].startAt == 0 {
+		if r.attempts[i].startedAt == 0 {
 			b.cancel(r, i, OtherBegan)
 		}
 	}
 }
 
-func (b *Balancer) ended(now time.Duration, ev *Event) {
-	r, a := b.find(ev)
-	if a == nil || !a.out {
+// handleEnd processes the end of an attempt: it updates the records of the worker, then closes, retries or
+// rejects the request.
+func (b *Balancer) handleEnd(now time.Duration, ev *Event) {
+	r, a := b.findAttempt(ev)
+	if a == nil || !a.inFlight {
 		return
 	}
-	w := a.to
-	a.out, a.result, w.endedAt = false, ev.Result, now
-	b.own(now, w, r, -1)
+	w := a.worker
+	a.inFlight, a.result, w.lastEndAt = false, ev.Result, now
+	b.addOwnLoad(now, w, r, -1)
 	if ev.Result == TimedOut || ev.Result == Reset || ev.Result == Cancelled {
-		r.doubt = now + b.s.OrderRest
+		r.mayRunUntil = now + b.settings.OrderRest
 	}
-	b.report(now, w, &ev.Report)
-	b.learn(now, r, a, ev)
-	b.judge(now, w, r.class, ev.Result)
-	b.drop(w)
+	b.applyReport(now, w, &ev.Report)
+	b.learnSpeed(now, r, a, ev)
+	b.applyResult(now, w, r.class, ev.Result)
+	b.dropIfUnused(w)
 	if ev.Result != OK && ev.Result != Full && !b.neverRan(ev.Result) && !a.cancelled {
-		b.retries = max(-1, b.retries-1)
+		b.retryTokens = max(-1, b.retryTokens-1)
 	}
 	switch {
 	case r.done:
-		b.forget(r)
+		b.removeFinished(r)
 	case ev.Final:
 		b.close(now, r, OtherServed)
 	default:
-		b.goOn(now, r, ev.Result)
+		b.retryOrReject(now, r, ev.Result)
 	}
-	b.place(now)
+	b.placeQueued(now)
 }
 
-// goOn holds a request for a further attempt after one has ended, or answers it if there may be none.
-func (b *Balancer) goOn(now time.Duration, r *request, last Result) {
-	if reason := b.whyNoFurther(now, r, last); reason != "" {
-		b.answer(now, r, reason)
+// retryOrReject queues a request for a further attempt after one has ended, or rejects it if none is allowed.
+func (b *Balancer) retryOrReject(now time.Duration, r *request, lastResult Result) {
+	if reason := b.noRetryReason(now, r, lastResult); reason != "" {
+		b.reject(now, r, reason)
 		return
 	}
-	if r.outs == 0 && !r.held {
-		r.home = b.newHome()
-		b.hold(now, r)
+	if r.inFlight == 0 && !r.queued {
+		r.home = b.drawHome()
+		b.enqueue(now, r)
 	}
 }
 
-// learn takes from a served attempt how long jobs of its class run and how fast the worker is.
-func (b *Balancer) learn(now time.Duration, r *request, a *attempt, ev *Event) {
+// learnSpeed updates the run times of the class and the speed of the worker from a served attempt.
+func (b *Balancer) learnSpeed(now time.Duration, r *request, a *attempt, ev *Event) {
 	if ev.Result != OK {
 		return
 	}
-	c, w := r.class, a.to
-	c.met += metShare * (1 - c.met)
-	run := max((now - cmp.Or(a.startAt, a.sentAt+a.wait)).Seconds(), 0.1*(now-a.sentAt).Seconds(), 1e-4)
-	w.ran, w.expected = w.ran*forget+run, w.expected*forget+r.work
-	b.ran, b.expected = b.ran*paceForget+run, b.expected*paceForget+r.work
-	c.runs, c.work, c.hints = c.runs*usualForget+1, c.work*usualForget+run, c.hints*usualForget+r.hint
-	b.runMean += 0.02 * (r.work - b.runMean)
+	c, w := r.class, a.worker
+	c.servedShare += servedSmoothing * (1 - c.servedShare)
+	runSeconds := max((now - cmp.Or(a.startedAt, a.sentAt+a.expectedWait)).Seconds(),
+		0.1*(now-a.sentAt).Seconds(), 1e-4)
+	w.ranSeconds, w.expectedSeconds =
+		w.ranSeconds*workerSpeedDecay+runSeconds, w.expectedSeconds*workerSpeedDecay+r.work
+	b.ranSeconds, b.expectedSeconds =
+		b.ranSeconds*fleetSpeedDecay+runSeconds, b.expectedSeconds*fleetSpeedDecay+r.work
+	c.sampleCount, c.workSeconds, c.hintSeconds = c.sampleCount*classWorkDecay+1,
+		c.workSeconds*classWorkDecay+runSeconds, c.hintSeconds*classWorkDecay+r.hint
+	b.meanJobSeconds += 0.02 * (r.work - b.meanJobSeconds)
 }
--- a/balance/attempt_test.go
+++ b/balance/attempt_test.go
@@ -43,7 +43,7 @@
 		s.Classes[0].Effect, s.Classes[0].Scope, s.Classes[0].Window = c.effect, c.scope, time.Second
 		s.FullMayHaveRun = c.noProof
 		h := start(t, s)
-		r := &request{class: h.b.classes["c"], attempts: []attempt{{to: &worker{Member: first}, sentAt: h.now, result: c.result}}}
+		r := &request{class: h.b.classes["c"], attempts: []attempt{{worker: &worker{Member: first}, sentAt: h.now, result: c.result}}}
 		for m, want := range map[Member]bool{cell: c.cell, zone: c.zone, far: c.far_} {
 			if got := h.b.maySend(h.now+500*ms, r, &worker{Member: m}); got != want {
 				t.Errorf("%+v: send to %s: %v", c, m.ID, got)
@@ -55,7 +55,7 @@
 		if c.effect == Keyed && !h.b.neverRan(c.result) && h.b.maySend(h.now+time.Second, r, &worker{Member: first}) {
 			t.Errorf("%+v: sent after the window", c)
 		}
-		r.attempts[0].out = true
+		r.attempts[0].inFlight = true
 		if c.effect == Unsafe && h.b.maySend(h.now, r, &worker{Member: cell}) {
 			t.Errorf("%+v: sent while an attempt is out", c)
 		}
@@ -92,11 +92,11 @@
 		if c := find(acts, Cancel); c == nil || c.Attempt != 0 {
 			t.Errorf("not withdrawn from an ejected worker: %+v", acts)
 		}
-		before := h.b.retries
+		before := h.b.retryTokens
 		if send := find(h.end(id, w, Cancelled, Report{}), Send); send == nil || send.Worker == w {
 			t.Error("not sent elsewhere after it was withdrawn")
 		}
-		if h.b.retries != before {
+		if h.b.retryTokens != before {
 			t.Error("a withdrawal drew on the retry budget")
 		}
 	}
@@ -169,7 +169,7 @@
 			h.now += 20 * ms * time.Duration(i/100%3)
 			_, acts := h.request()
 			taken = append(taken, h.now)
-			acts = append(acts, h.step(Event{Kind: TimerDue, Timer: tickTimer})...)
+			acts = append(acts, h.step(Event{Kind: TimerDue, Timer: queueTimer})...)
 			for n := 0; n < len(acts); n++ {
 				a := acts[n]
 				if a.Kind != Send {
@@ -217,7 +217,7 @@
 			}
 			h.now += time.Second
 		}
-		if most := retryBurst/2 + 60*retryShare + 1; !prompt && float64(moves) > most {
+		if most := retryBurst/2 + 60*retryRatio + 1; !prompt && float64(moves) > most {
 			t.Errorf("%d moves of 60 jobs though none found a free slot, over %v", moves, most)
 		} else if prompt && moves < 50 {
 			t.Errorf("%d moves of 60 jobs though all found a free slot", moves)
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -151,7 +151,7 @@
 	if a := find(h.step(Event{Kind: TimerDue, Timer: wake.Timer}), Refuse); a == nil || a.Request != id {
 		t.Fatal("not refused when its hope was over")
 	}
-	if len(h.b.reqs) != 0 {
+	if len(h.b.requests) != 0 {
 		t.Fatal("the request is still kept")
 	}
 }
--- a/balance/clock_test.go
+++ b/balance/clock_test.go
@@ -21,12 +21,12 @@
 	id, w := h.sent()
 	h.now += 25 * ms
 	h.step(Event{Kind: TimerDue, Timer: id})
-	if h.now < h.b.workers[w].fullTo {
+	if h.now < h.b.workers[w].fullUntil {
 		t.Error("taken for full after 25 ms")
 	}
 	h.now += 10 * ms
 	h.step(Event{Kind: TimerDue, Timer: id})
-	if h.now >= h.b.workers[w].fullTo {
+	if h.now >= h.b.workers[w].fullUntil {
 		t.Error("not taken for full after 35 ms")
 	}
 }
@@ -37,8 +37,8 @@
 	h := start(t, base(), fleet(20)...)
 	h.now = 56 * 365 * 24 * time.Hour
 	h.request()
-	if h.b.gap > 1 {
-		t.Errorf("a gap of %g s after one job", h.b.gap)
+	if h.b.arrivalGap > 1 {
+		t.Errorf("a gap of %g s after one job", h.b.arrivalGap)
 	}
 }
 
@@ -70,7 +70,7 @@
 			return
 		}
 		h.now += 10 * ms
-		acts = h.step(Event{Kind: TimerDue, Timer: tickTimer})
+		acts = h.step(Event{Kind: TimerDue, Timer: queueTimer})
 	}
 	t.Errorf("job %d was not sent in 3 s", id)
 }
@@ -83,10 +83,10 @@
 		id, w := h.sent()
 		h.end(id, w, OK, Report{})
 		acts := h.step(Event{Kind: Arrived, Request: 1000, Class: "c", Budget: budget, Slots: 1, First: true})
-		if h.b.reqs[1000].arrived != h.now || find(acts, Send) == nil {
+		if h.b.requests[1000].firstTryAt != h.now || find(acts, Send) == nil {
 			t.Errorf("a first try with %v was taken for a later one", budget)
 		}
-		if id, _ := h.sent(); h.b.reqs[id].arrived != h.now {
+		if id, _ := h.sent(); h.b.requests[id].firstTryAt != h.now {
 			t.Errorf("after a first try with %v the others' are taken for later ones", budget)
 		}
 	}
--- a/balance/cold.go
+++ b/balance/cold.go
@@ -4,59 +4,62 @@
 	"time"
 )
 
-// What a worker may be sent in the time after its start.
+// This file limits the work that a cold worker is sent after its start.
 
-// backOffEach is the part of a back-off for each dispatcher that may send to a cold worker. In the 10 ms
-// that a word between them takes a few may begin: a worker that is allowed one job stands six.
-const backOffEach = 4 * time.Millisecond
+// backOffPerDispatcher is the part of a back-off for each dispatcher that may send to a cold worker. A few of
+// them may send within the 10 ms that a message takes: a worker that is allowed one job can take six.
+const backOffPerDispatcher = 4 * time.Millisecond
 
-func (b *Balancer) warmth(now time.Duration, w *worker) float64 {
+// warmShare returns the share of its full capacity that w has now: from ColdFrom at its start up to 1.
+func (b *Balancer) warmShare(now time.Duration, w *worker) float64 {
 	age := now - w.Started
-	if w.Started == 0 || age >= b.s.ColdFor {
+	if w.Started == 0 || age >= b.settings.ColdFor {
 		return 1
 	}
-	return b.s.ColdFrom + (1-b.s.ColdFrom)*max(0, age.Seconds())/b.s.ColdFor.Seconds()
+	return b.settings.ColdFrom + (1-b.settings.ColdFrom)*max(0, age.Seconds())/b.settings.ColdFor.Seconds()
 }
 
-// coldRoom keeps what a cold worker may be sent, in seconds of work: by this dispatcher and by those whose
-// words it hears. So one allowance is all dispatchers', and none of it lies idle. Who may not speak has a
-// share. With others about it begins empty, is first used at different times, and in small bursts.
-func (b *Balancer) coldRoom(now time.Duration, r *request, w *worker) bool {
-	if b.warmth(now, w) >= 1 {
+// coldBudgetAllows reports whether r may be sent to w. A cold worker has a token bucket in seconds of work.
+// Dispatchers that exchange messages subtract one another's sends, so that together they share one bucket and
+// none of it stays unused. An isolated dispatcher has its own part. In a fleet of several, the bucket starts
+// empty, is first usable at a random time and allows small bursts only.
+func (b *Balancer) coldBudgetAllows(now time.Duration, r *request, w *worker) bool {
+	if b.warmShare(now, w) >= 1 {
 		return true
 	}
-	if now < w.backOffTo {
+	if now < w.backOffUntil {
 		return false
 	}
-	burst := b.refill(now, w)
+	burst := b.refillTokens(now, w)
 	return burst > 0 && w.tokens >= min(burst, r.work*r.slots)
 }
 
-// refill reckons the allowance of a cold worker up to now, as must be done before anything is taken off it,
-// and returns the most that it comes to.
-func (b *Balancer) refill(now time.Duration, w *worker) (burst float64) {
-	rate := coldSafety * b.cold * b.s.FallMultiple * b.slots(now, w) / max(1, b.slow(w))
-	if b.s.apart() {
-		rate *= apartShare / float64(b.s.Fleet)
+// refillTokens updates the token bucket of a cold worker to the present and returns its size. It must run
+// before tokens are subtracted.
+func (b *Balancer) refillTokens(now time.Duration, w *worker) (burst float64) {
+	rate := coldBudgetShare * b.coldFactor * b.settings.FallMultiple *
+		b.capacity(now, w) / max(1, b.slowness(w))
+	if b.settings.isolated() {
+		rate *= isolatedFactor / float64(b.settings.Fleet)
 	}
-	burst = rate * b.s.FallWindow.Seconds()
-	if b.s.Fleet > 1 {
-		if burst /= 4; w.tokensAt == 0 {
-			w.tokens, w.tokensAt = -b.rng.Float64()*b.runMean, now
+	burst = rate * b.settings.FallWindow.Seconds()
+	if b.settings.Fleet > 1 {
+		if burst /= 4; w.refilledAt == 0 {
+			w.tokens, w.refilledAt = -b.rng.Float64()*b.meanJobSeconds, now
 		}
 	}
-	w.tokens, w.tokensAt = min(burst, w.tokens+rate*(now-w.tokensAt).Seconds()), now
+	w.tokens, w.refilledAt = min(burst, w.tokens+rate*(now-w.refilledAt).Seconds()), now
 	return burst
 }
 
-// backOff has this dispatcher leave a cold worker alone for a random time after another one told of a slot
-// that is free there. All who hear of it may send there, and hear of one another's sends a word's way later:
-// they must not send together, so the time grows with their number.
+// backOff stops sends to a cold worker for a random time after another dispatcher announced a free slot
+// there. Every dispatcher that receives the announcement may send there, and learns of the others' sends one
+// message delay later. They must not send together, so the time grows with their number.
 func (b *Balancer) backOff(now time.Duration, w *worker) {
-	if now < w.backOffTo || b.warmth(now, w) >= 1 {
+	if now < w.backOffUntil || b.warmShare(now, w) >= 1 {
 		return
 	}
 	first, last := b.Near(w.ID)
-	most := min(b.s.FallWindow/2, time.Duration(last-first+1)*backOffEach)
-	w.backOffTo = now + time.Duration(b.rng.Float64()*float64(most))
+	longest := min(b.settings.FallWindow/2, time.Duration(last-first+1)*backOffPerDispatcher)
+	w.backOffUntil = now + time.Duration(b.rng.Float64()*float64(longest))
 }
--- a/balance/cold_test.go
+++ b/balance/cold_test.go
@@ -129,14 +129,14 @@
 	cold[0].Started = time.Hour
 	h := start(t, s, cold...)
 	w, r := h.b.ring[0], &request{class: h.b.classes["c"], slots: 1, work: 0.05}
-	h.b.coldRoom(h.now, r, w)
+	h.b.coldBudgetAllows(h.now, r, w)
 	h.now += 2 * time.Second // full by now, though nobody looked
 	h.step(Event{Kind: PeerSpoke, Who: 1, Loads: map[string]float64{"w00": 4}})
-	if h.b.coldRoom(h.now, r, w) {
+	if h.b.coldBudgetAllows(h.now, r, w) {
 		t.Errorf("%.2f s of work may be sent right after others sent four jobs", w.tokens)
 	}
 	h.now += 2 * time.Second
-	if !h.b.coldRoom(h.now, r, w) {
+	if !h.b.coldBudgetAllows(h.now, r, w) {
 		t.Errorf("nothing may be sent two seconds later: %.2f s", w.tokens)
 	}
 }
@@ -169,7 +169,7 @@
 		ms[0].Started = time.Hour - time.Second
 		h := start(t, base(), ms...)
 		h.step(Event{Kind: Ruled, Cold: cold})
-		return h.b.refill(h.now, h.b.workers["w00"])
+		return h.b.refillTokens(h.now, h.b.workers["w00"])
 	}
 	if all, half := burst(1), burst(0.5); math.Abs(half/all-0.5) > 1e-9 || burst(0) != 0 {
 		t.Fatalf("a cold worker's allowance: %g, and half of it %g, and none %g", all, half, burst(0))
@@ -204,7 +204,7 @@
 	for now := freedAt; now < freedAt+time.Second; now += ms {
 		for i, h := range all {
 			h.now = now
-			ev := Event{Kind: TimerDue, Timer: tickTimer}
+			ev := Event{Kind: TimerDue, Timer: queueTimer}
 			if now == freedAt {
 				ev = Event{Kind: PeerSpoke, Who: (i + 1) % many}
 			}
--- a/balance/draw.go
+++ b/balance/draw.go
@@ -7,80 +7,90 @@
 	"time"
 )
 
-// The draw of a worker for a request: the candidates about its home, and their weights.
+// This file chooses a worker for a request: it gathers the candidates around its home and draws by cost.
 
-// draw picks the worker for r: the softmax over its home and the k neighbours on each side.
+// draw chooses the worker for r by a softmax draw over its home and the k neighbours on each side. It returns
+// nil if no candidate has capacity.
 func (b *Balancer) draw(now time.Duration, r *request) *worker {
-	b.cand = b.cand[:0]
-	for pass := 0; pass < 3 && len(b.cand) == 0; pass++ {
-		b.gather(now, r, pass)
+	b.candidates = b.candidates[:0]
+	for pass := 0; pass < 3 && len(b.candidates) == 0; pass++ {
+		b.gatherCandidates(now, r, pass)
 	}
-	if w := r.kept; w != nil && w.listed && w.owns(r) && b.fits(now, r, w, 0) && !slices.Contains(b.cand, w) {
-		b.cand = append(b.cand, w)
+	if w := r.reservedAt; w != nil && w.listed && w.reservedFor(r) && b.eligible(now, r, w, 0) &&
+		!slices.Contains(b.candidates, w) {
+		b.candidates = append(b.candidates, w)
 	}
-	best, top := (*worker)(nil), math.Inf(-1)
-	for i, w := range b.cand {
-		if !b.room(now, r, w) {
+	best, topScore := (*worker)(nil), math.Inf(-1)
+	for i, w := range b.candidates {
+		if !b.hasCapacity(now, r, w) {
 			continue
 		}
 		price := 0.0
-		if i > 0 && r.key > 0 {
-			price = b.s.Prices.Fetch
+		if i > 0 && r.keyHash > 0 {
+			price = b.settings.Prices.Fetch
 		}
-		// The largest of Gumbel noise less theta x cost is a draw with weights exp(-theta x cost).
-		if x := -math.Log(b.rng.ExpFloat64()) - theta*b.cost(now, w, price); x > top {
-			best, top = w, x
+		// The largest of Gumbel noise minus theta x cost is a draw with weights exp(-theta x cost).
+		if score := -math.Log(b.rng.ExpFloat64()) -
+			inverseTemperature*b.cost(now, w, price); score > topScore {
+			best, topScore = w, score
 		}
 	}
 	return best
 }
 
-// gather collects the home of r and its neighbours, alternating sides, passing over workers that r may
-// not use. Pass 1 takes in workers already tried, pass 2 ejected ones too.
-func (b *Balancer) gather(now time.Duration, r *request, pass int) {
+// gatherCandidates collects the home of r and its neighbours on alternating sides. It skips workers that r
+// may not use. Pass 1 includes workers that were already tried; pass 2 also includes ejected ones.
+func (b *Balancer) gatherCandidates(now time.Duration, r *request, pass int) {
 	n := len(b.ring)
 	home := int(r.home * float64(n))
-	for i, top := 0, uint32(0); r.key > 0 && i < n; i++ { // the same one at every dispatcher
-		if x := (r.key ^ b.ring[i].offset) * 0x85ebca6b; (x^x>>15)*0xc2b2ae35 >= top {
-			top, home = (x^x>>15)*0xc2b2ae35, i
+	// A key has the same home at every dispatcher, by rendezvous hashing.
+	for i, topHash := 0, uint32(0); r.keyHash > 0 && i < n; i++ {
+		if mixed := (r.keyHash ^ b.ring[i].idHash) * 0x85ebca6b; (mixed^mixed>>15)*0xc2b2ae35 >= topHash {
+			topHash, home = (mixed^mixed>>15)*0xc2b2ae35, i
 		}
 	}
-	for i := 0; i < n && len(b.cand) < 2*neighbours+1; i++ {
-		at := home + (i+1)/2*(2*(i%2)-1)
-		w := b.ring[(at+n)%n]
-		if b.fits(now, r, w, pass) {
-			b.cand = append(b.cand, w)
+	for i := 0; i < n && len(b.candidates) < 2*neighbours+1; i++ {
+		index := home + (i+1)/2*(2*(i%2)-1)
+		w := b.ring[(index+n)%n]
+		if b.eligible(now, r, w, pass) {
+			b.candidates = append(b.candidates, w)
 		}
 	}
 }
 
-func (b *Balancer) fits(now time.Duration, r *request, w *worker, pass int) bool {
+// eligible reports whether r may use w in the given pass, apart from the capacity of w.
+func (b *Balancer) eligible(now time.Duration, r *request, w *worker, pass int) bool {
 	return w.State == Ready && (r.class.Kind == "" || r.class.Kind == w.Kind) &&
 		(w.Classes == "" || strings.Contains(w.Classes, ","+r.class.Name+",")) &&
 		(len(r.attempts) == 0 || b.maySend(now, r, w)) &&
-		(pass == 2 || now >= w.ejectedTo) && (pass > 0 || now >= r.class.shut[w.ID].until) &&
-		(pass > 0 || !slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.to == w }))
+		(pass == 2 || now >= w.ejectedUntil) && (pass > 0 || now >= r.class.blocked[w.ID].until) &&
+		(pass > 0 || !slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.worker == w }))
 }
 
-func (b *Balancer) room(now time.Duration, r *request, w *worker) bool {
-	if now < w.fullTo || w.trial && w.outs > 0 || !b.coldRoom(now, r, w) || !w.leaves(now, r) {
+// hasCapacity reports whether r would start at w without a wait and within the limits of w.
+func (b *Balancer) hasCapacity(now time.Duration, r *request, w *worker) bool {
+	if now < w.fullUntil || w.trial && w.inFlight > 0 ||
+		!b.coldBudgetAllows(now, r, w) || !w.reservationAllows(now, r) {
 		return false
 	}
-	// While requests are refused, cheap jobs leave some slots to dear ones, or these would come too late.
-	kept := min(reserveMost, b.shed) * b.slots(now, w) * max(0, 1-r.value/max(cheapShare*b.top, 1e-9))
-	if r.class.Effect == Unsafe && b.s.TellsStart { // it cannot leave a queue: careful in need
-		kept += b.shed - unsafeSpare
+	// While requests are refused, cheap ones leave some slots to valuable ones, which would else be late.
+	reserved := min(reserveMax, b.shortage) * b.capacity(now, w) *
+		max(0, 1-r.value/max(cheapValueShare*b.topValue, 1e-9))
+	// An unsafe request cannot leave a worker's queue, so it needs more certainty in a shortage.
+	if r.class.Effect == Unsafe && b.settings.TellsStart {
+		reserved += b.shortage - unsafeOvercommit
 	}
-	return b.wait(now, w, r.slots+kept-slotSlack) <= 0
+	return b.queueWait(now, w, r.slots+reserved-slotTolerance) <= 0
 }
 
-// cost is the Q of the softmax: the load, scaled by the speed of w, and the prices of what choosing w brings.
+// cost returns the cost of w in the softmax: its load, scaled by its speed, plus the prices of choosing it.
 func (b *Balancer) cost(now time.Duration, w *worker, price float64) float64 {
-	if w.Zone != b.s.Zone {
-		price += b.s.Prices.CrossZone
+	if w.Zone != b.settings.Zone {
+		price += b.settings.Prices.CrossZone
 	}
-	if w.outs >= w.conns || now-w.endedAt >= b.s.ConnIdle {
-		price += b.s.Prices.Handshake // all open connections are busy, or were closed as idle
+	if w.inFlight >= w.openConns || now-w.lastEndAt >= b.settings.ConnIdle {
+		price += b.settings.Prices.Handshake // all open connections are busy or were closed after ConnIdle
 	}
-	return b.slow(w)/b.warmth(now, w)*(1+b.load(now, w)/max(b.slots(now, w), 0.1)) + priceWeight*price
+	return b.slowness(w)/b.warmShare(now, w)*(1+b.load(now, w)/max(b.capacity(now, w), 0.1)) +
+		priceWeight*price
 }
--- a/balance/draw_test.go
+++ b/balance/draw_test.go
@@ -28,13 +28,13 @@
 func TestDrawIsSoftmaxOfNeighbours(t *testing.T) {
 	h := start(t, base(), fleet(30)...)
 	for i, w := range h.b.ring {
-		w.slots, w.repAt, w.others = 10, h.now, float64(i%4)
+		w.slots, w.reportedAt, w.otherSlots = 10, h.now, float64(i%4)
 	}
-	r := &request{class: h.b.classes["c"], slots: 1, home: 0.5, arrived: h.now, hopeBy: h.now + time.Second}
+	r := &request{class: h.b.classes["c"], slots: 1, home: 0.5, firstTryAt: h.now, usefulStartBy: h.now + time.Second}
 	weights, sum, counts := map[string]float64{}, 0.0, map[string]float64{}
 	for i := 15 - neighbours; i <= 15+neighbours; i++ {
 		w := h.b.ring[i]
-		weights[w.ID] = math.Exp(-theta * h.b.cost(h.now, w, 0))
+		weights[w.ID] = math.Exp(-inverseTemperature * h.b.cost(h.now, w, 0))
 		sum += weights[w.ID]
 	}
 	const draws = 20000
--- a/balance/health.go
+++ b/balance/health.go
@@ -7,81 +7,89 @@
 	"time"
 )
 
-// Which workers are fit to be sent to.
+// This file tracks the health of workers.
 
-// probe asks those candidates of the latest job whose figures are oldest, if they have half faded: the next
-// homes are near. Its price, and the time of the quickest so far as a worker's, bound the number.
-func (b *Balancer) probe(now time.Duration) {
-	for spent := 0.0; b.s.Probes && len(b.cand) > 0 && spent < probeSpend; {
-		spent += max(b.s.Prices.Probe, 0.001) + b.probeTakes.Seconds()/b.runMean
-		w := slices.MinFunc(b.cand, func(x, y *worker) int { return cmp.Compare(x.newsAt(), y.newsAt()) })
-		if (now - w.newsAt()).Seconds() < max(b.runMean*b.pace(), 0.2)/2 {
+// probeCandidates probes the candidates of the latest request with the oldest load figures, if these are half
+// decayed. The homes of the next requests are near. The number is limited by the price of a probe and by the
+// worker time that it takes, for which the shortest probe so far counts.
+func (b *Balancer) probeCandidates(now time.Duration) {
+	for spent := 0.0; b.settings.Probes && len(b.candidates) > 0 && spent < probeBudget; {
+		spent += max(b.settings.Prices.Probe, 0.001) + b.fastestProbe.Seconds()/b.meanJobSeconds
+		w := slices.MinFunc(b.candidates, func(x, y *worker) int {
+			return cmp.Compare(x.figuresAt(), y.figuresAt())
+		})
+		if (now - w.figuresAt()).Seconds() < max(b.meanJobSeconds*b.slowdown(), 0.2)/2 {
 			return
 		}
 		w.probedAt = now
-		b.do(Action{Kind: Probe, Worker: w.ID})
+		b.emit(Action{Kind: Probe, Worker: w.ID})
 	}
 }
 
-func (w *worker) newsAt() time.Duration { return max(w.repAt, w.probedAt) }
+// figuresAt returns the time of the last report or probe of w.
+func (w *worker) figuresAt() time.Duration { return max(w.reportedAt, w.probedAt) }
 
-// heard notes that w is alive; one ejected for its silence comes back.
-func (b *Balancer) heard(now time.Duration, w *worker) {
-	w.heardAt = now
-	if now < w.ejectedTo && !w.hard && w.streak == 0 {
-		w.ejectedTo = now
+// markAlive records a sign of life of w. It ends an ejection for silence.
+func (b *Balancer) markAlive(now time.Duration, w *worker) {
+	w.lastSeenAt = now
+	if now < w.ejectedUntil && !w.hardEjected && w.failureScore == 0 {
+		w.ejectedUntil = now
 	}
 }
 
-// judge draws from a result what it says about the worker's health.
-func (b *Balancer) judge(now time.Duration, w *worker, c *class, res Result) {
+// applyResult updates the health of w after an attempt of class c ended with res.
+func (b *Balancer) applyResult(now time.Duration, w *worker, c *class, res Result) {
 	switch res {
 	case OK:
-		b.heard(now, w)
-		w.streak, w.trial, w.hard = 0, false, false
-		delete(c.shut, w.ID)
-		if now > w.ejectedTo+16*ejectFor {
-			w.ejections = 0
+		b.markAlive(now, w)
+		w.failureScore, w.trial, w.hardEjected = 0, false, false
+		delete(c.blocked, w.ID)
+		if now > w.ejectedUntil+16*ejectionTime {
+			w.recentEjections = 0
 		}
 	case Failed, Reset:
-		b.heard(now, w)
-		// A connection may break though the worker is well: of such breaks it takes twice as many.
-		if w.streak++; res == Failed {
-			w.streak++
+		b.markAlive(now, w)
+		// A connection may break at a healthy worker, so a reset counts half as much as a failure.
+		if w.failureScore++; res == Failed {
+			w.failureScore++
 		}
-		if w.streak >= 4 {
+		if w.failureScore >= 4 {
 			b.eject(now, w, false)
 		}
 	case Full:
-		b.heard(now, w)
-		// None of its class while others are there, as some shed one class alone; and for longer each time,
-		// as a worker that turns all away looks idle.
-		maps.DeleteFunc(c.shut, func(_ string, x rest) bool { return now >= x.until+shutFor })
-		x := rest{now + shutFor, c.shut[w.ID].times + 1}
+		b.markAlive(now, w)
+		// Jobs of this class go to other workers for a while, as some workers refuse a single class. The
+		// time grows with each refusal in a row, as a worker that refuses every job looks idle.
+		maps.DeleteFunc(c.blocked, func(_ string, block classBlock) bool {
+			return now >= block.until+classBlockTime
+		})
+		block := classBlock{now + classBlockTime, c.blocked[w.ID].count + 1}
 		if b.neverRan(Full) {
-			w.fullTo = now + b.turnover(now, w)
-			x.until = now + b.turnover(now, w)<<min(x.times, 6)
+			w.fullUntil = now + b.slotTurnover(now, w)
+			block.until = now + b.slotTurnover(now, w)<<min(block.count, 6)
 		}
-		c.shut[w.ID] = x
+		c.blocked[w.ID] = block
 	case NoConnection:
 		b.eject(now, w, true)
 	}
 }
 
-// eject takes w from the ring for a while, longer each time. A fault that most workers share ejects no
-// more than half of them; one that cannot be reached at all is no use to anybody.
+// eject excludes w from the candidates for a while, longer each time, and reports the suspicion. A fault that
+// most workers share ejects at most half of them. That limit does not apply if hard is set, which means that
+// w cannot be reached at all and can serve no request.
 func (b *Balancer) eject(now time.Duration, w *worker, hard bool) {
-	out := 0
+	ejected := 0
 	for _, x := range b.ring {
-		if now < x.ejectedTo && !x.hard {
-			out++
+		if now < x.ejectedUntil && !x.hardEjected {
+			ejected++
 		}
 	}
-	if now < w.ejectedTo || !hard && 2*(out+1) > len(b.ring) {
+	if now < w.ejectedUntil || !hard && 2*(ejected+1) > len(b.ring) {
 		return
 	}
-	b.do(Action{Kind: Doubt, Worker: w.ID, Failing: w.streak >= 4})
-	w.hard, w.trial, w.streak = hard, true, min(w.streak, 2) // in the trial half as much is enough
-	w.ejectedTo = now + ejectFor<<min(w.ejections, ejectMost)
-	w.ejections++
+	b.emit(Action{Kind: Doubt, Worker: w.ID, Failing: w.failureScore >= 4})
+	// During the trial, half the failure score is enough for the next ejection.
+	w.hardEjected, w.trial, w.failureScore = hard, true, min(w.failureScore, 2)
+	w.ejectedUntil = now + ejectionTime<<min(w.recentEjections, ejectionDoublings)
+	w.recentEjections++
 }
--- a/balance/health_test.go
+++ b/balance/health_test.go
@@ -15,13 +15,13 @@
 		id, at := h.sent()
 		w := h.b.workers[at]
 		for range out - 1 {
-			h.b.own(h.now, w, h.b.reqs[id], 1)
+			h.b.addOwnLoad(h.now, w, h.b.requests[id], 1)
 		}
 		for range 8 {
 			h.now += 25 * ms
 			h.step(Event{Kind: TimerDue, Timer: id})
 		}
-		if got := h.now < w.ejectedTo; got != (out > 1) {
+		if got := h.now < w.ejectedUntil; got != (out > 1) {
 			t.Errorf("%d out and 200 ms of silence: ejected %v", out, got)
 		}
 	}
@@ -54,14 +54,14 @@
 func TestProbeAnswerIsNoProofOfHealth(t *testing.T) {
 	h := start(t, base(), fleet(3)...)
 	w := h.b.ring[0]
-	h.b.judge(h.now, w, nil, Failed)
+	h.b.applyResult(h.now, w, nil, Failed)
 	h.step(Event{Kind: Probed, Worker: w.ID, Result: OK, Report: Report{Present: true, Free: 4}})
-	h.b.judge(h.now, w, nil, Failed)
-	if h.now >= w.ejectedTo {
+	h.b.applyResult(h.now, w, nil, Failed)
+	if h.now >= w.ejectedUntil {
 		t.Error("not ejected after two failures in a row with a probe answered in between")
 	}
 	h.step(Event{Kind: Probed, Worker: h.b.ring[1].ID, Result: NoConnection})
-	if h.now >= h.b.ring[1].ejectedTo {
+	if h.now >= h.b.ring[1].ejectedUntil {
 		t.Error("a worker that a probe could not reach is not ejected")
 	}
 }
@@ -93,7 +93,7 @@
 		t.Error("another class was kept away as well")
 	}
 	for _, m := range fleet(3) {
-		h.b.judge(h.now, h.b.workers[m.ID], h.b.classes["c"], Full)
+		h.b.applyResult(h.now, h.b.workers[m.ID], h.b.classes["c"], Full)
 	}
 	if _, acts := h.request(); find(acts, Send) == nil {
 		t.Error("with all workers shut nothing is sent any more")
@@ -113,17 +113,17 @@
 		h := start(t, base(), fleet(4)...)
 		w := h.b.ring[0]
 		for _, res := range c.results {
-			h.b.judge(h.now, w, h.b.classes["c"], res)
+			h.b.applyResult(h.now, w, h.b.classes["c"], res)
 		}
-		if got := h.now < w.ejectedTo; got != c.want {
+		if got := h.now < w.ejectedUntil; got != c.want {
 			t.Errorf("%v: ejected %v", c.results, got)
 		}
 		for range 9 { // however often it fails in its trials
-			h.now = max(h.now, w.ejectedTo)
-			h.b.judge(h.now, w, h.b.classes["c"], Failed)
-			h.b.judge(h.now, w, h.b.classes["c"], Failed)
+			h.now = max(h.now, w.ejectedUntil)
+			h.b.applyResult(h.now, w, h.b.classes["c"], Failed)
+			h.b.applyResult(h.now, w, h.b.classes["c"], Failed)
 		}
-		if rest := w.ejectedTo - h.now; rest > ejectFor<<ejectMost {
+		if rest := w.ejectedUntil - h.now; rest > ejectionTime<<ejectionDoublings {
 			t.Errorf("%v: rests for %v", c.results, rest)
 		}
 	}
@@ -139,19 +139,19 @@
 	r := &request{class: c, slots: 1}
 	last := time.Duration(0)
 	for range 5 {
-		h.b.judge(h.now, w, c, Full)
-		if rest := c.shut[w.ID].until - h.now; rest <= last {
+		h.b.applyResult(h.now, w, c, Full)
+		if rest := c.blocked[w.ID].until - h.now; rest <= last {
 			t.Fatalf("rests for %v after %v", rest, last)
 		} else {
 			last = rest
 		}
-		if h.b.fits(h.now, r, w, 0) || !h.b.fits(h.now, r, w, 1) {
+		if h.b.eligible(h.now, r, w, 0) || !h.b.eligible(h.now, r, w, 1) {
 			t.Error("it is not left out while others are there, or left out when they are not")
 		}
 		h.now += last
 	}
-	h.b.judge(h.now, w, c, OK)
-	if len(c.shut) > 0 {
+	h.b.applyResult(h.now, w, c, OK)
+	if len(c.blocked) > 0 {
 		t.Error("a job that was served does not end the rest")
 	}
 }
@@ -162,8 +162,8 @@
 	h := start(t, base(), fleet(4)...)
 	w := h.b.ring[0]
 	h.b.eject(h.now, w, false)
-	h.b.heard(h.now+ms, w)
-	if h.now+2*ms < w.ejectedTo {
+	h.b.markAlive(h.now+ms, w)
+	if h.now+2*ms < w.ejectedUntil {
 		t.Error("it was heard and is still ejected")
 	}
 }
--- a/balance/list.go
+++ b/balance/list.go
@@ -6,44 +6,47 @@
 	"time"
 )
 
-// The worker list: who is on the ring, and the call for it.
+// This file maintains the worker list and the ring, and queries discovery for the list.
 
-func (b *Balancer) ask() {
-	if b.s.Subscribe && b.asking.begin() {
-		b.do(Action{Kind: Subscribe})
+// queryDiscovery starts a query for the worker list if the settings require queries and none is outstanding.
+func (b *Balancer) queryDiscovery() {
+	if b.settings.Subscribe && b.discovery.begin() {
+		b.emit(Action{Kind: Subscribe})
 	}
 }
 
-func (b *Balancer) list(now time.Duration, ev *Event) {
+// handleList applies a received worker list, or schedules the next query after a failed one.
+func (b *Balancer) handleList(now time.Duration, ev *Event) {
 	if ev.List == AskFailed {
-		b.do(Action{Kind: Wake, Timer: askTimer, After: b.asking.failed(now, &b.s, b.rng)})
+		b.emit(Action{Kind: Wake, Timer: discoveryTimer, After: b.discovery.failed(now, &b.settings, b.rng)})
 		return
 	}
-	b.gen++
+	b.listVersion++
 	for i := range ev.Members {
-		b.member(now, &ev.Members[i])
+		b.updateMember(now, &ev.Members[i])
 	}
 	if ev.List != Changes {
 		for _, w := range slices.Clone(b.ring) {
-			if w.gen != b.gen {
+			if w.listVersion != b.listVersion {
 				b.unlist(w)
 			}
 		}
 	}
 	switch {
 	case ev.List == FromDisk:
-		if wait := b.asking.start(now, &b.s, b.rng); wait > 0 {
-			b.do(Action{Kind: Wake, Timer: askTimer, After: wait})
+		if wait := b.discovery.firstDelay(now, &b.settings, b.rng); wait > 0 {
+			b.emit(Action{Kind: Wake, Timer: discoveryTimer, After: wait})
 		} else {
-			b.ask()
+			b.queryDiscovery()
 		}
 	case !ev.Local:
-		b.asking.heard()
+		b.discovery.received()
 	}
-	b.place(now)
+	b.placeQueued(now)
 }
 
-func (b *Balancer) member(now time.Duration, m *Member) {
+// updateMember applies one entry of a worker list.
+func (b *Balancer) updateMember(now time.Duration, m *Member) {
 	w := b.workers[m.ID]
 	if w == nil {
 		w = &worker{}
@@ -51,14 +54,15 @@
 			b.workers[m.ID] = w
 		}
 	}
-	if w.ID == "" || m.Started != w.Started { // new, or restarted: nothing known of an old process holds
-		*w = worker{Member: *m, listed: w.listed, own: w.own, outs: w.outs, marks: w.marks, slots: w.slots,
-			heardAt: now, offset: hash(m.ID)}
-		for _, had := range b.tells {
-			delete(had, m.ID)
+	// A new or restarted worker: records of an earlier process no longer apply.
+	if w.ID == "" || m.Started != w.Started {
+		*w = worker{Member: *m, listed: w.listed, ownSlots: w.ownSlots, inFlight: w.inFlight,
+			loadHistory: w.loadHistory, slots: w.slots, lastSeenAt: now, idHash: hash(m.ID)}
+		for _, loads := range b.peerLoads {
+			delete(loads, m.ID)
 		}
 	}
-	w.Member, w.gen = *m, b.gen
+	w.Member, w.listVersion = *m, b.listVersion
 	if m.State != Ready && m.State != Suspended {
 		b.unlist(w)
 		return
@@ -70,15 +74,17 @@
 	}
 }
 
+// unlist removes w from the ring and ends its reservation.
 func (b *Balancer) unlist(w *worker) {
-	w.listed, w.keep = false, nil
+	w.listed, w.reservation = false, nil
 	b.ring = slices.DeleteFunc(b.ring, func(x *worker) bool { return x == w })
-	b.drop(w)
+	b.dropIfUnused(w)
 }
 
-// drop forgets a worker neither listed nor holding work of ours, or memory would grow with the day.
-func (b *Balancer) drop(w *worker) {
-	if !w.listed && w.outs == 0 {
+// dropIfUnused deletes w if it is not listed and has no attempt of this dispatcher in flight. Otherwise
+// memory would grow without limit.
+func (b *Balancer) dropIfUnused(w *worker) {
+	if !w.listed && w.inFlight == 0 {
 		delete(b.workers, w.ID)
 	}
 }
--- a/balance/load.go
+++ b/balance/load.go
@@ -7,153 +7,171 @@
 	"time"
 )
 
-// What the workers have to do: by their own reports, by what other dispatchers tell, and by the own attempts
-// that are out.
+// This file estimates the load and speed of workers from their reports, from the announcements of other
+// dispatchers and from this dispatcher's attempts in flight.
 
-// slots is how many slots w has for work now: fewer while it is cold.
-func (b *Balancer) slots(now time.Duration, w *worker) float64 {
-	return cmp.Or(w.slots, b.slotsMean) * b.warmth(now, w)
+// capacity returns how many slots w has for work now. A cold worker has fewer.
+func (b *Balancer) capacity(now time.Duration, w *worker) float64 {
+	return cmp.Or(w.slots, b.meanWorkerSlots) * b.warmShare(now, w)
 }
 
-// note keeps what a dispatcher has out at each worker by its word: nothing, where it names none. The cost
-// grows with what was named, not with the workers: with many dispatchers these are most of all events. less
-// says that there may be room now.
-func (b *Balancer) note(now time.Duration, who int, loads map[string]float64) (less bool) {
-	if b.tells[who] == nil {
-		b.tells[who] = map[string]float64{}
+// updatePeerLoads stores the slots that a dispatcher announced for its attempts at each worker. A worker that
+// it does not name has none. The cost grows with the number of named workers, not with all workers: with many
+// dispatchers these are most of all events. It reports whether some load decreased, so that there may be
+// capacity.
+func (b *Balancer) updatePeerLoads(now time.Duration, dispatcher int, loads map[string]float64) (freed bool) {
+	if b.peerLoads[dispatcher] == nil {
+		b.peerLoads[dispatcher] = map[string]float64{}
 	}
-	had := b.tells[who]
-	for id := range had {
+	previous := b.peerLoads[dispatcher]
+	for id := range previous {
 		if loads[id] == 0 {
-			less = b.noteAt(now, had, id, 0) || less
+			freed = b.updatePeerLoad(now, previous, id, 0) || freed
 		}
 	}
 	for id, slots := range loads {
-		less = b.noteAt(now, had, id, slots) || less
+		freed = b.updatePeerLoad(now, previous, id, slots) || freed
 	}
-	return less
+	return freed
 }
 
-func (b *Balancer) noteAt(now time.Duration, had map[string]float64, id string, slots float64) (less bool) {
-	less = slots < had[id]
-	if w := b.workers[id]; w != nil && had[id] != slots {
-		w.told += slots - had[id]
-		if less {
+// updatePeerLoad stores the slots that a dispatcher announced for one worker, and reports whether they
+// decreased.
+func (b *Balancer) updatePeerLoad(
+	now time.Duration, previous map[string]float64, id string, slots float64,
+) (freed bool) {
+	freed = slots < previous[id]
+	if w := b.workers[id]; w != nil && previous[id] != slots {
+		w.peerSlots += slots - previous[id]
+		if freed {
 			b.backOff(now, w)
 		}
-		if more := slots - had[id]; more > 0 && b.warmth(now, w) < 1 {
-			b.refill(now, w)
-			w.tokens -= more * b.runMean
+		if added := slots - previous[id]; added > 0 && b.warmShare(now, w) < 1 {
+			b.refillTokens(now, w)
+			w.tokens -= added * b.meanJobSeconds
 		}
-		w.mark(now)
-		had[id] = slots
+		w.recordLoad(now)
+		previous[id] = slots
 	}
 	if slots == 0 {
-		delete(had, id)
+		delete(previous, id)
 	}
-	return less
+	return freed
 }
 
-// owns says whether room is held at w for r.
-func (w *worker) owns(r *request) bool { return w.keep != nil && w.keep.Request == r.id }
+// reservedFor reports whether capacity of w is reserved for r.
+func (w *worker) reservedFor(r *request) bool {
+	return w.reservation != nil && w.reservation.Request == r.id
+}
 
-// leaves says whether r at w leaves alone what is held there for another.
-func (w *worker) leaves(now time.Duration, r *request) bool {
-	k := w.keep
-	return k == nil || w.owns(r) || r.slots <= k.Spare || r.slots <= k.Most && now <= k.Last[r.class.Name]
+// reservationAllows reports whether r may go to w without using capacity that is reserved for another
+// request.
+func (w *worker) reservationAllows(now time.Duration, r *request) bool {
+	reservation := w.reservation
+	return reservation == nil || w.reservedFor(r) || r.slots <= reservation.Spare ||
+		r.slots <= reservation.Most && now <= reservation.Last[r.class.Name]
 }
 
-// load is how many slots of w are taken or waited for: own work, and others' as last reported. Old reports
-// fade into the mean of all workers, which may not say that all are full, or dispatchers with late reports
-// would stop and start together; it fades when no report comes at all. Nor is w taken for emptier than
-// learned caution says, short of one slot: others see the same report, and go there too. Cheap jobs wait.
+// load returns how many slots of w are taken or waited for, by own work and by others' work as last reported.
+//
+// The weight of a report decays with its age in favour of the mean of all workers. That mean is limited to
+// assumedLoad, as otherwise dispatchers with late reports would stop and start together. It decays while no
+// report arrives at all.
+//
+// The load of others is never below a floor that grows with assumedLoad and leaves one slot. Other
+// dispatchers see the same report of a free slot and send there too. With the floor, cheap requests wait.
 func (b *Balancer) load(now time.Duration, w *worker) float64 {
-	tau := max(b.runMean*b.pace(), 0.2)
-	n := b.slots(now, w)
-	mean := n * max(0, min(b.others, b.blind)) * math.Exp(-(now-b.heardAt).Seconds()/(3*tau))
-	if w.repAt == 0 {
-		return w.own + w.told + mean
+	timeConstant := max(b.meanJobSeconds*b.slowdown(), 0.2)
+	slots := b.capacity(now, w)
+	meanOther := slots * max(0, min(b.otherShare, b.assumedLoad)) *
+		math.Exp(-(now-b.lastReportAt).Seconds()/(3*timeConstant))
+	if w.reportedAt == 0 {
+		return w.ownSlots + w.peerSlots + meanOther
 	}
-	fresh := math.Exp(-(now - w.repAt + b.lag).Seconds() / tau)
-	floor := min(n-1, n*(b.blind-blindShare)/(blindMost-blindShare))
-	return w.own + max(0, floor, w.told+mean+(w.others-mean)*fresh)
+	freshness := math.Exp(-(now - w.reportedAt + b.reportAge).Seconds() / timeConstant)
+	floor := min(slots-1, slots*(b.assumedLoad-assumedLoadStart)/(assumedLoadMax-assumedLoadStart))
+	return w.ownSlots + max(0, floor, w.peerSlots+meanOther+(w.otherSlots-meanOther)*freshness)
 }
 
-// slow is how much longer than the average worker w needs for a job.
-func (b *Balancer) slow(w *worker) float64 {
-	prior := speedPrior * max(b.runMean, 1e-3)
-	return (w.ran + prior*b.pace()) / (w.expected + prior)
+// slowness returns the run time of a job at w as a multiple of the average worker's.
+func (b *Balancer) slowness(w *worker) float64 {
+	prior := speedPriorJobs * max(b.meanJobSeconds, 1e-3)
+	return (w.ranSeconds + prior*b.slowdown()) / (w.expectedSeconds + prior)
 }
 
-// wait is how long a job of so many slots would wait in w's queue. However cold, w runs one job at a time:
-// one with a single slot would else stand idle until it is warm. What it may be sent is coldRoom's to bound.
-func (b *Balancer) wait(now time.Duration, w *worker, slots float64) time.Duration {
-	n := max(1, b.slots(now, w))
-	return seconds(max(0, b.load(now, w)+slots-n) / n * b.runMean * b.slow(w))
+// queueWait returns how long a job of the given number of slots would wait in w's queue. The capacity counts
+// as at least one slot, or a worker with a single slot would be idle until it is warm. The load of a cold
+// worker is limited by coldBudgetAllows.
+func (b *Balancer) queueWait(now time.Duration, w *worker, slots float64) time.Duration {
+	capacity := max(1, b.capacity(now, w))
+	return seconds(max(0, b.load(now, w)+slots-capacity) / capacity * b.meanJobSeconds * b.slowness(w))
 }
 
-// own notes a change of this dispatcher's own work at w.
-func (b *Balancer) own(now time.Duration, w *worker, r *request, n int) {
-	w.own = max(0, w.own+float64(n)*r.slots)
-	w.outs, r.outs = w.outs+n, r.outs+n
-	w.conns = max(w.conns, w.outs)
-	w.mark(now)
+// addOwnLoad records that n attempts of r started at w; a negative n records ended ones.
+func (b *Balancer) addOwnLoad(now time.Duration, w *worker, r *request, n int) {
+	w.ownSlots = max(0, w.ownSlots+float64(n)*r.slots)
+	w.inFlight, r.inFlight = w.inFlight+n, r.inFlight+n
+	w.openConns = max(w.openConns, w.inFlight)
+	w.recordLoad(now)
 }
 
-// mark notes what is known to be at w: own work and what others told of theirs.
-func (w *worker) mark(now time.Duration) {
-	if len(w.marks) >= 64 {
-		w.marks = slices.Delete(w.marks, 0, 32)
+// recordLoad adds the known load of w, own and announced by others, to its history.
+func (w *worker) recordLoad(now time.Duration) {
+	if len(w.loadHistory) >= 64 {
+		w.loadHistory = slices.Delete(w.loadHistory, 0, 32)
 	}
-	w.marks = append(w.marks, mark{now, w.own + w.told})
+	w.loadHistory = append(w.loadHistory, sample{now, w.ownSlots + w.peerSlots})
 }
 
-func (w *worker) ownAt(at time.Duration) float64 {
-	for i := len(w.marks) - 1; i >= 0; i-- {
-		if w.marks[i].at <= at {
-			return w.marks[i].x
+// loadAt returns the known load of w at an earlier time, or 0 before the start of its history.
+func (w *worker) loadAt(at time.Duration) float64 {
+	for i := len(w.loadHistory) - 1; i >= 0; i-- {
+		if w.loadHistory[i].at <= at {
+			return w.loadHistory[i].value
 		}
 	}
 	return 0
 }
 
-// report takes in a worker's figures. Own work at the time they were taken is subtracted, so that it
-// counts once.
-func (b *Balancer) report(now time.Duration, w *worker, rep *Report) {
+// applyReport updates the estimates of w from a report. It subtracts the known load at the time of the
+// report, so that this load counts once.
+func (b *Balancer) applyReport(now time.Duration, w *worker, rep *Report) {
 	if !rep.Present {
 		return
 	}
-	b.heardAt = now
-	total := rep.InFlight * b.slotMean
-	if b.s.ReportsFree && rep.Free >= 0 && rep.InFlight >= 0 {
-		n := rep.Free + max(0, rep.InFlight-max(0, rep.Waiting))*b.slotMean
-		had := cmp.Or(w.slots, max(n, 1))
-		w.slots = max(1, had+0.1*(n-had))
-		b.slotsMean += 0.02 * (w.slots - b.slotsMean)
-		total = w.slots - rep.Free + max(0, rep.Waiting)*b.slotMean
+	b.lastReportAt = now
+	total := rep.InFlight * b.meanJobSlots
+	if b.settings.ReportsFree && rep.Free >= 0 && rep.InFlight >= 0 {
+		slots := rep.Free + max(0, rep.InFlight-max(0, rep.Waiting))*b.meanJobSlots
+		previous := cmp.Or(w.slots, max(slots, 1))
+		w.slots = max(1, previous+0.1*(slots-previous))
+		b.meanWorkerSlots += 0.02 * (w.slots - b.meanWorkerSlots)
+		total = w.slots - rep.Free + max(0, rep.Waiting)*b.meanJobSlots
 	}
 	if total < 0 {
 		return
 	}
-	if w.rep != *rep || w.repAt == 0 { // else the same figures again, perhaps of the same moment
-		b.fit(now, w, total)
-		w.others = total - w.ownAt(now-b.lag)
+	// Repeated figures may be from the same moment and are skipped.
+	if w.lastReport != *rep || w.reportedAt == 0 {
+		b.fitReportAge(now, w, total)
+		w.otherSlots = total - w.loadAt(now-b.reportAge)
 	}
-	w.rep, w.repAt = *rep, now
-	b.others += 0.05 * (w.others/max(w.slots, 1) - b.others)
+	w.lastReport, w.reportedAt = *rep, now
+	b.otherShare += 0.05 * (w.otherSlots/max(w.slots, 1) - b.otherShare)
 }
 
-// fit finds the age of the reports: the one at which own work explains most of what they say. Reports that
-// come seconds late would else have their old load counted as others' (and good workers refused).
-func (b *Balancer) fit(now time.Duration, w *worker, total float64) {
-	best := 0
-	for i, lag := range lags {
-		d := (total - w.ownAt(now-lag) - w.mean) / max(w.slots, 1)
-		b.misfit[i] += 0.03 * (d*d - b.misfit[i])
-		if b.misfit[i] < 0.98*b.misfit[best] {
-			best = i
+// fitReportAge estimates the age of reports: the one at which the known load explains most of the reported
+// load. Without it, own load in a report that is seconds late would count as others', and workers with
+// capacity would be skipped.
+func (b *Balancer) fitReportAge(now time.Duration, w *worker, total float64) {
+	bestAge := 0
+	for i, age := range reportAges {
+		deviation := (total - w.loadAt(now-age) - w.meanOtherSlots) / max(w.slots, 1)
+		b.ageErrors[i] += 0.03 * (deviation*deviation - b.ageErrors[i])
+		if b.ageErrors[i] < 0.98*b.ageErrors[bestAge] {
+			bestAge = i
 		}
 	}
-	b.lag = lags[best]
-	w.mean += 0.1 * (total - w.ownAt(now-b.lag) - w.mean)
+	b.reportAge = reportAges[bestAge]
+	w.meanOtherSlots += 0.1 * (total - w.loadAt(now-b.reportAge) - w.meanOtherSlots)
 }
--- a/balance/load_test.go
+++ b/balance/load_test.go
@@ -9,7 +9,7 @@
 // workers were taken for full.
 func TestRepeatedIdleReportsStayFresh(t *testing.T) {
 	h := start(t, base(), fleet(3)...)
-	h.b.others = 1 // all looked busy a while ago
+	h.b.otherShare = 1 // all looked busy a while ago
 	idle := Report{Present: true, InFlight: 0, Waiting: 0, Free: 4}
 	for range 12 {
 		id, w := h.sent()
@@ -18,7 +18,7 @@
 		h.now += 400 * ms
 	}
 	for _, w := range h.b.ring {
-		if w.repAt > 0 && h.b.load(h.now, w) > 2 {
+		if w.reportedAt > 0 && h.b.load(h.now, w) > 2 {
 			t.Errorf("idle worker %s is taken for loaded with %.2f", w.ID, h.b.load(h.now, w))
 		}
 	}
@@ -32,15 +32,15 @@
 	own := func(at time.Duration) float64 { return float64((at / (700 * ms)) % 4) }
 	for i := range 400 {
 		now := time.Hour + time.Duration(i)*50*ms
-		w.own = own(now)
-		w.marks = append(w.marks, mark{now, w.own})
-		h.b.fit(now, w, own(now-1500*ms)+1)
-		if len(w.marks) > 64 {
-			w.marks = w.marks[32:]
+		w.ownSlots = own(now)
+		w.loadHistory = append(w.loadHistory, sample{now, w.ownSlots})
+		h.b.fitReportAge(now, w, own(now-1500*ms)+1)
+		if len(w.loadHistory) > 64 {
+			w.loadHistory = w.loadHistory[32:]
 		}
 	}
-	if h.b.lag != 1500*ms {
-		t.Errorf("reports 1.5 s old are taken to be %v old", h.b.lag)
+	if h.b.reportAge != 1500*ms {
+		t.Errorf("reports 1.5 s old are taken to be %v old", h.b.reportAge)
 	}
 }
 
@@ -68,14 +68,14 @@
 	s := base()
 	s.TellsStart, s.Duplicates, s.Cancel, s.Fleet = true, true, true, 1
 	h := start(t, s, fleet(6)...)
-	before := h.b.blind
+	before := h.b.assumedLoad
 	for range 5 {
 		id, _ := h.sent()
 		h.now += 50 * ms
 		h.step(Event{Kind: TimerDue, Timer: id})
 		h.step(Event{Kind: Departed, Request: id})
 	}
-	missed := h.b.blind
+	missed := h.b.assumedLoad
 	if missed <= before {
 		t.Errorf("blind share %.2f after jobs that did not start, %.2f before", missed, before)
 	}
@@ -87,8 +87,8 @@
 		h.now += 100 * ms
 		h.end(id, w, OK, Report{})
 	}
-	if h.b.blind >= missed {
-		t.Errorf("blind share %.2f after prompt starts, %.2f before", h.b.blind, missed)
+	if h.b.assumedLoad >= missed {
+		t.Errorf("blind share %.2f after prompt starts, %.2f before", h.b.assumedLoad, missed)
 	}
 }
 
@@ -97,7 +97,7 @@
 	s := base()
 	s.TellsStart, s.Cancel = true, true
 	h := start(t, s, fleet(6)...)
-	h.b.others, h.b.heardAt = 1, h.now
+	h.b.otherShare, h.b.lastReportAt = 1, h.now
 	for range 100 {
 		id, _ := h.request()
 		h.now += 200 * ms
@@ -105,9 +105,9 @@
 		h.step(Event{Kind: Departed, Request: id})
 	}
 	w := &worker{slots: 10}
-	h.b.heardAt = h.now
-	if h.b.blind <= blindShare {
-		t.Fatalf("blind share %.2f after jobs that did not start", h.b.blind)
+	h.b.lastReportAt = h.now
+	if h.b.assumedLoad <= assumedLoadStart {
+		t.Fatalf("blind share %.2f after jobs that did not start", h.b.assumedLoad)
 	}
 	if left := w.slots - h.b.load(h.now, w); left < 1 {
 		t.Errorf("a worker of 10 slots that nothing is known of has %.2f left", left)
@@ -117,12 +117,12 @@
 // Failure: a dispatcher with little traffic forgot between two answers that others load the workers.
 func TestMeanLoadOutlastsASilence(t *testing.T) {
 	h := start(t, base(), fleet(6)...)
-	h.b.others, h.b.heardAt = 0.5, h.now
+	h.b.otherShare, h.b.lastReportAt = 0.5, h.now
 	w := &worker{slots: 10}
-	if l := h.b.load(h.now+seconds(h.b.runMean), w); l < 2.5 {
+	if l := h.b.load(h.now+seconds(h.b.meanJobSeconds), w); l < 2.5 {
 		t.Errorf("load %.2f of 5 is left after one running time without a report", l)
 	}
-	if l := h.b.load(h.now+seconds(30*h.b.runMean), w); l > 0.5 {
+	if l := h.b.load(h.now+seconds(30*h.b.meanJobSeconds), w); l > 0.5 {
 		t.Errorf("load %.2f is still believed after a long silence", l)
 	}
 }
@@ -177,16 +177,16 @@
 		s.Classes = append(s.Classes, Class{Name: "dear", Aim: 200 * ms, Stretch: 2, Deadline: 5 * time.Second, Worth: 20})
 		h := start(t, s, fleet(1)...)
 		w := h.b.ring[0]
-		w.slots, h.b.top, h.b.shed = 4, 50, 0.5
-		h.b.report(h.now, w, &Report{Present: true, Free: 4})
+		w.slots, h.b.topValue, h.b.shortage = 4, 50, 0.5
+		h.b.applyReport(h.now, w, &Report{Present: true, Free: 4})
 		if missed {
-			h.b.blind = blindMost
+			h.b.assumedLoad = assumedLoadMax
 		}
 		room := func(class string) bool {
-			r := &request{class: h.b.classes[class], slots: 1, arrived: h.now, answerBy: h.now + 5*time.Second}
+			r := &request{class: h.b.classes[class], slots: 1, firstTryAt: h.now, respondBy: h.now + 5*time.Second}
 			h.b.estimate(r)
 			r.value = h.b.value(h.now, r)
-			return h.b.room(h.now, r, w)
+			return h.b.hasCapacity(h.now, r, w)
 		}
 		if !room("dear") || room("c") == missed {
 			t.Errorf("missed starts %v: room for a dear job %v, for a cheap one %v", missed, room("dear"), room("c"))
@@ -209,12 +209,12 @@
 	}
 	// A report that shows the same job tells nothing new.
 	two.now += 50 * ms
-	two.b.report(two.now, w, &Report{Present: true, InFlight: 1, Free: 3})
-	if w.others > 0.01 {
-		t.Errorf("%g slots are taken for somebody else's", w.others)
+	two.b.applyReport(two.now, w, &Report{Present: true, InFlight: 1, Free: 3})
+	if w.otherSlots > 0.01 {
+		t.Errorf("%g slots are taken for somebody else's", w.otherSlots)
 	}
 	two.step(Event{Kind: PeerSpoke, Who: 0})
-	if w.told != 0 {
-		t.Errorf("%g slots are told of after the end", w.told)
+	if w.peerSlots != 0 {
+		t.Errorf("%g slots are told of after the end", w.peerSlots)
 	}
 }
--- a/balance/queue.go
+++ b/balance/queue.go
@@ -7,71 +7,77 @@
 	"time"
 )
 
-// The requests that are held here, and which of them goes first.
+// This file holds the queue of requests at this dispatcher and the order in which they are sent.
 
-// place sends what is held and has room: by priority, then the most worth for the work first.
-func (b *Balancer) place(now time.Duration) {
-	for _, r := range b.held {
+// placeQueued sends the queued requests for which a worker has capacity, by priority and then by value.
+func (b *Balancer) placeQueued(now time.Duration) {
+	for _, r := range b.queued {
 		r.value = b.value(now, r)
-		b.top = max(b.top*0.999, r.value)
+		b.topValue = max(b.topValue*0.999, r.value)
 	}
-	slices.SortStableFunc(b.held, func(x, y *request) int {
+	slices.SortStableFunc(b.queued, func(x, y *request) int {
 		return cmp.Or(cmp.Compare(y.priority, x.priority), cmp.Compare(y.value, x.value))
 	})
-	kept, misses := b.held[:0], 0
-	for _, r := range b.held {
-		if (misses < 4 || r.kept != nil) && b.mayGo(now, r) {
+	remaining, misses := b.queued[:0], 0
+	for _, r := range b.queued {
+		if (misses < 4 || r.reservedAt != nil) && b.maySendNow(now, r) {
 			if w := b.draw(now, r); w != nil {
-				r.held = false
+				r.queued = false
 				b.send(now, r, w)
 				continue
 			}
 			misses++
 		}
-		kept = append(kept, r)
+		remaining = append(remaining, r)
 	}
-	clear(b.held[len(kept):])
-	b.held = kept
-	if len(kept) > 0 && !b.ticking {
-		b.ticking = true
-		b.do(Action{Kind: Wake, Timer: tickTimer, After: max(2*b.s.Tick, 10*time.Millisecond)})
+	clear(b.queued[len(remaining):])
+	b.queued = remaining
+	if len(remaining) > 0 && !b.queueTimerSet {
+		b.queueTimerSet = true
+		b.emit(Action{Kind: Wake, Timer: queueTimer, After: max(2*b.settings.Tick, 10*time.Millisecond)})
 	}
 }
 
-// value is the worth of r for each second of a slot that it takes, times the chance that it is still in time.
+// value returns the value of r for each second of a slot that it takes, times the probability that it is
+// still within its latency target.
 func (b *Balancer) value(now time.Duration, r *request) float64 {
 	c := r.class
-	v := c.Worth / r.slots
-	if !b.s.ByWork {
-		v /= max(r.work, 1e-3)
+	value := c.Worth / r.slots
+	if !b.settings.ByWork {
+		value /= max(r.work, 1e-3)
 	}
-	if p, beyond := b.parts[r.tenant]; beyond && now < b.partsTo { // of any of them, as nothing tells which
-		v *= p + (1-p)*b.s.BeyondWorth
+	// Which of a tenant's requests are beyond its share is unknown, so each gets the average value.
+	if part, beyond := b.tenantParts[r.tenant]; beyond && now < b.tenantPartsUntil {
+		value *= part + (1-part)*b.settings.BeyondWorth
 	}
-	// The result hangs on the worst-served class, too: the worse one is served, the sooner its jobs go.
-	best := c.met
+	// The score also depends on the worst-served class, so a class that is served worse has more weight.
+	bestServed := c.servedShare
 	for _, x := range b.classes {
-		best = max(best, x.met)
+		bestServed = max(bestServed, x.servedShare)
 	}
-	v *= 1 + b.s.Goal.WorstClass/max(1e-9, b.s.Goal.Whole+b.s.Goal.WorstClass)*min(3, metGain*(best-c.met))
-	p := b.chance(r, (now - r.arrived).Seconds())
-	return v * (p + (1-p)*c.Late)
+	value *= 1 + b.settings.Goal.WorstClass/max(1e-9, b.settings.Goal.Whole+b.settings.Goal.WorstClass)*
+		min(3, worstClassGain*(bestServed-c.servedShare))
+	probability := b.onTimeProbability(r, (now - r.firstTryAt).Seconds())
+	return value * (probability + (1-probability)*c.Late)
 }
 
-// chance is how likely r is in time if it starts after so many seconds, its work taken as exponential about
-// the mean. While all run slowly (a fault that all share), only short jobs have a chance.
-func (b *Balancer) chance(r *request, waited float64) float64 {
-	spare, gain := r.class.Aim.Seconds()-waited, (r.class.Stretch-b.pace())*max(r.work, 1e-3)
+// onTimeProbability returns the probability that r meets its latency target if it starts after it waited the
+// given number of seconds. Its work is assumed to be exponentially distributed. While all workers run slowly
+// because of a shared fault, only short jobs can meet the target.
+func (b *Balancer) onTimeProbability(r *request, waited float64) float64 {
+	slack, gain := r.class.Aim.Seconds()-waited, (r.class.Stretch-b.slowdown())*max(r.work, 1e-3)
 	switch {
-	case spare >= 0 && gain >= 0:
+	case slack >= 0 && gain >= 0:
 		return 1
 	case gain > 0:
-		return math.Exp(spare / gain)
-	case spare > 0:
-		return 1 - math.Exp(spare/gain)
+		return math.Exp(slack / gain)
+	case slack > 0:
+		return 1 - math.Exp(slack/gain)
 	}
 	return 0
 }
 
-// pace is how much longer than usual jobs run now.
-func (b *Balancer) pace() float64 { return (b.ran + b.runMean) / (b.expected + b.runMean + 1e-9) }
+// slowdown returns the recent run time of jobs as a multiple of the usual one.
+func (b *Balancer) slowdown() float64 {
+	return (b.ranSeconds + b.meanJobSeconds) / (b.expectedSeconds + b.meanJobSeconds + 1e-9)
+}
--- a/balance/queue_test.go
+++ b/balance/queue_test.go
@@ -35,8 +35,8 @@
 		acts := h.step(Event{Kind: Arrived, Request: 100 + id, Class: "c", Budget: budget, Slots: 1})
 		if sent := find(acts, Send); sent == nil && id < 19 {
 			t.Fatalf("a first try was not sent: %+v", acts)
-		} else if id == 19 && h.now-h.b.reqs[100+id].arrived != 4*time.Second {
-			t.Errorf("a last try seems %v old, not 4s", h.now-h.b.reqs[100+id].arrived)
+		} else if id == 19 && h.now-h.b.requests[100+id].firstTryAt != 4*time.Second {
+			t.Errorf("a last try seems %v old, not 4s", h.now-h.b.requests[100+id].firstTryAt)
 		} else if id < 19 {
 			h.end(100+id, sent.Worker, OK, Report{})
 		}
@@ -72,14 +72,14 @@
 		}
 		h.now += 100 * ms
 		h.step(Event{Kind: Departed, Request: 1}) // over, but its attempt is out
-		if a := find(h.step(Event{Kind: TimerDue, Timer: tickTimer}), Send); a != nil {
+		if a := find(h.step(Event{Kind: TimerDue, Timer: queueTimer}), Send); a != nil {
 			t.Fatalf("%s: request %d sent while an attempt of its key is out", name, a.Request)
 		}
 		ended := h.now
 		acts := h.step(Event{Kind: Ended, Request: 1, Worker: first.Worker, Result: c.result, Final: true})
 		for find(acts, Send) == nil && h.now < ended+time.Second {
 			h.now += ms
-			acts = h.step(Event{Kind: TimerDue, Timer: tickTimer})
+			acts = h.step(Event{Kind: TimerDue, Timer: queueTimer})
 		}
 		if a := find(acts, Send); a == nil || a.Request != 2 || h.now-ended != c.wait {
 			t.Errorf("%s: want request 2 sent after a rest of %v: %+v after %v", name, c.wait, a, h.now-ended)
@@ -89,8 +89,8 @@
 			h.step(Event{Kind: Ended, Request: id, Result: OK, Final: true})
 		}
 		h.now += time.Second
-		if ask(8, "new"); len(h.b.lines) != 1 {
-			t.Errorf("%s: %d keys are remembered", name, len(h.b.lines))
+		if ask(8, "new"); len(h.b.keyQueues) != 1 {
+			t.Errorf("%s: %d keys are remembered", name, len(h.b.keyQueues))
 		}
 	}
 }
@@ -101,15 +101,15 @@
 	s := base()
 	s.Classes[0].Late = 0.25
 	h := start(t, s, fleet(1)...)
-	h.b.ring[0].fullTo = h.now + 3*time.Second // nothing goes for a while
+	h.b.ring[0].fullUntil = h.now + 3*time.Second // nothing goes for a while
 	old, _ := h.request()
 	h.now += 3 * time.Second
-	h.b.ring[0].fullTo = h.now + ms
+	h.b.ring[0].fullUntil = h.now + ms
 	fresh, _ := h.request()
 	h.now += 2 * ms
 	var order []uint64
 	for range 2 {
-		for _, a := range h.step(Event{Kind: TimerDue, Timer: tickTimer}) {
+		for _, a := range h.step(Event{Kind: TimerDue, Timer: queueTimer}) {
 			if a.Kind == Send {
 				order = append(order, a.Request)
 			}
@@ -130,8 +130,8 @@
 		id, w := h.sent()
 		h.now += time.Duration(i/10) * 2 * time.Second // ten at once, ten too late
 		h.step(Event{Kind: Noted, Request: id, Worker: w, Started: true})
-		if late := h.b.shed > 0; late != (i >= 10) {
-			t.Fatalf("job %d: shortage %v", i, h.b.shed)
+		if late := h.b.shortage > 0; late != (i >= 10) {
+			t.Fatalf("job %d: shortage %v", i, h.b.shortage)
 		}
 		h.end(id, w, OK, Report{})
 	}
@@ -149,10 +149,10 @@
 		s.TellsStart, s.Classes[0].Effect = true, c.effect
 		h := start(t, s, fleet(1)...)
 		w := h.b.ring[0]
-		w.slots, w.own, h.b.shed = 4, c.taken, c.shed
-		r := &request{class: h.b.classes["c"], slots: 1, value: 1, arrived: h.now, answerBy: h.now + 5*time.Second}
+		w.slots, w.ownSlots, h.b.shortage = 4, c.taken, c.shed
+		r := &request{class: h.b.classes["c"], slots: 1, value: 1, firstTryAt: h.now, respondBy: h.now + 5*time.Second}
 		h.b.estimate(r)
-		if got := h.b.room(h.now, r, w); got != c.want {
+		if got := h.b.hasCapacity(h.now, r, w); got != c.want {
 			t.Errorf("%+v: room %v", c, got)
 		}
 	}
@@ -165,14 +165,14 @@
 	s.Goal = Goal{Whole: 0.45, WorstClass: 0.3}
 	s.Classes = append(s.Classes, Class{Name: "wide", Aim: 200 * ms, Stretch: 2, Deadline: 5 * time.Second, Worth: 1})
 	h := start(t, s, fleet(1)...)
-	small := &request{class: h.b.classes["c"], slots: 1, work: 0.1, arrived: h.now}
-	wide := &request{class: h.b.classes["wide"], slots: 2, work: 0.1, arrived: h.now}
+	small := &request{class: h.b.classes["c"], slots: 1, work: 0.1, firstTryAt: h.now}
+	wide := &request{class: h.b.classes["wide"], slots: 2, work: 0.1, firstTryAt: h.now}
 	if h.b.value(h.now, wide) >= h.b.value(h.now, small) {
 		t.Error("the wide job is worth more though both classes are served alike")
 	}
-	h.b.reqs[9] = wide
+	h.b.requests[9] = wide
 	for range 15 {
-		h.b.answer(h.now, wide, NoRoom)
+		h.b.reject(h.now, wide, NoRoom)
 	}
 	if h.b.value(h.now, wide) <= h.b.value(h.now, small) {
 		t.Errorf("wide %g, small %g, though the wide are served worse", h.b.value(h.now, wide), h.b.value(h.now, small))
@@ -213,16 +213,16 @@
 	h := start(t, base(), fleet(40)...)
 	far := h.b.ring[20]
 	for _, w := range h.b.ring {
-		w.fullTo = h.now + time.Hour
+		w.fullUntil = h.now + time.Hour
 	}
 	h.step(Event{Kind: Arrived, Request: 7, Class: class, Budget: time.Second, Slots: 1})
-	far.fullTo = 0
+	far.fullUntil = 0
 	if a := find(h.step(Event{Kind: Kept, Worker: far.ID, Request: 7, Keep: &Keep{Request: 7}}), Send); a == nil || a.Worker != far.ID {
 		t.Error("the room held for a request was not used by it")
 	}
 	m := far.Member
 	m.State = Draining
-	if h.step(Event{Kind: Listed, List: Changes, Members: []Member{m}}); far.keep != nil {
+	if h.step(Event{Kind: Listed, List: Changes, Members: []Member{m}}); far.reservation != nil {
 		t.Error("room is held at a worker that drains")
 	}
 }
@@ -237,21 +237,21 @@
 	id, at := h.sent() // the only slot
 	h.step(Event{Kind: Ended, Request: id, Worker: at, Result: OK, Final: true, Elapsed: 50 * ms, Report: Report{Present: true, InFlight: 1, Free: 0}})
 	first := func() string {
-		h.b.held = nil
+		h.b.queued = nil
 		ask := func(id uint64, tenant string) {
 			h.step(Event{Kind: Arrived, Request: id, Class: "c", Budget: 5 * time.Second, Slots: 1, Tenant: tenant})
 		}
 		w := h.b.workers[at]
-		w.fullTo = h.now + time.Hour
+		w.fullUntil = h.now + time.Hour
 		h.next += 2
 		ask(h.next, "much")
 		ask(h.next+1, "little")
 		h.next++
-		h.b.place(h.now)
-		if len(h.b.held) != 2 {
-			t.Fatalf("%d held", len(h.b.held))
+		h.b.placeQueued(h.now)
+		if len(h.b.queued) != 2 {
+			t.Fatalf("%d held", len(h.b.queued))
 		}
-		return h.b.held[0].tenant
+		return h.b.queued[0].tenant
 	}
 	if got := first(); got != "much" {
 		t.Fatalf("%s goes first while nothing is known: not the one that came first", got)
@@ -260,8 +260,8 @@
 	if got := first(); got != "little" {
 		t.Fatalf("%s goes first", got)
 	}
-	r := h.b.held[0]
-	if had := h.b.value(h.now, h.b.held[1]) / h.b.value(h.now, r); math.Abs(had-0.64) > 0.01 {
+	r := h.b.queued[0]
+	if had := h.b.value(h.now, h.b.queued[1]) / h.b.value(h.now, r); math.Abs(had-0.64) > 0.01 {
 		t.Fatalf("a request of one with 0.6 within its share is worth %.2f", had)
 	}
 	h.now += 3 * time.Second
--- a/balance/reason.go
+++ b/balance/reason.go
@@ -1,10 +1,10 @@
 package balance
 
-// Reason says in a few words why a request was refused or failed, or why an attempt was given up. It is for
-// logs and counts; nothing is decided by it.
+// Reason is the reason why a request was refused or failed, or why an attempt was cancelled. It is for logs
+// and counters only; no decision depends on it.
 type Reason string
 
-// Why a request was refused or failed.
+// The reasons to refuse or fail a request.
 const (
 	UnknownClass Reason = "unknown class"
 	NoTarget     Reason = "no target may be sent to"
@@ -17,7 +17,7 @@
 	TargetFull   Reason = "target full"
 )
 
-// Why an attempt was given up.
+// The reasons to cancel an attempt.
 const (
 	ClientLeft  Reason = "client left"
 	AnswerGiven Reason = "answered without it"
--- a/balance/request.go
+++ b/balance/request.go
@@ -9,137 +9,151 @@
 	"time"
 )
 
-// Requests from their arrival until they are over: what is known of them, the order of their keys, and the
-// budget of further attempts.
+// This file handles requests from their arrival until they are done: their estimates, the order of their keys
+// and the budget of further attempts.
 
-func (b *Balancer) arrived(now time.Duration, ev *Event) {
+// handleArrival queues a new request and sends it if a worker has capacity.
+func (b *Balancer) handleArrival(now time.Duration, ev *Event) {
 	c := b.classes[ev.Class]
 	if c == nil {
-		b.do(Action{Kind: Refuse, Request: ev.Request, Reason: UnknownClass})
+		b.emit(Action{Kind: Refuse, Request: ev.Request, Reason: UnknownClass})
 		return
 	}
 	r := &request{id: ev.Request, class: c, slots: max(ev.Slots, 1), hint: ev.Hint.Seconds(),
-		home: b.newHome(), arrived: now, priority: ev.Priority, tenant: ev.Tenant}
-	if b.s.Prices.Fetch > 0 && ev.Key != "" {
-		r.key = hash(ev.Key)
+		home: b.drawHome(), firstTryAt: now, priority: ev.Priority, tenant: ev.Tenant}
+	if b.settings.Prices.Fetch > 0 && ev.Key != "" {
+		r.keyHash = hash(ev.Key)
 	}
-	// A budget under the usual one is what is left to a later try. Where each try has only a part of the
-	// deadline, first tries would else be taken for old ones and refused.
+	// A budget below the usual one belongs to a later try, which has only the rest of the deadline. The usual
+	// budget is learned: where each try gets only a part of the deadline, first tries would otherwise count
+	// as late ones and be refused.
 	if !ev.First {
-		c.budget = max(c.budget, ev.Budget)
-		if ev.Budget < c.budget*49/50 && (ev.Repeat || !b.s.MarksRepeat) {
-			r.arrived = now - max(0, c.Deadline-ev.Budget)
+		c.longestBudget = max(c.longestBudget, ev.Budget)
+		if ev.Budget < c.longestBudget*49/50 && (ev.Repeat || !b.settings.MarksRepeat) {
+			r.firstTryAt = now - max(0, c.Deadline-ev.Budget)
 		}
 	}
-	r.answerBy = now + max(0, ev.Budget-2*b.s.Tick)
+	r.respondBy = now + max(0, ev.Budget-2*b.settings.Tick)
 	b.estimate(r)
-	b.reqs[r.id] = r
-	b.paid += b.s.ExtraRatio
+	b.requests[r.id] = r
+	b.earnedAttempts += b.settings.ExtraRatio
 	if c.InOrder && ev.Key != "" {
-		b.join(now, r, ev.Key)
+		b.joinKeyQueue(now, r, ev.Key)
 	}
-	b.retries = min(retryBurst, b.retries+retryShare)
-	b.slotMean += 0.02 * (r.slots - b.slotMean)
-	if b.cameAt > 0 { // or the age of the clock, decades on a real one, would be taken for a gap
-		b.gap += 0.05 * ((now - b.cameAt).Seconds() - b.gap)
+	b.retryTokens = min(retryBurst, b.retryTokens+retryRatio)
+	b.meanJobSlots += 0.02 * (r.slots - b.meanJobSlots)
+	if b.lastArrivalAt > 0 { // else the age of the clock, decades on a real one, would count as a gap
+		b.arrivalGap += 0.05 * ((now - b.lastArrivalAt).Seconds() - b.arrivalGap)
 	}
-	b.cameAt = now
-	b.hold(now, r)
-	b.place(now)
-	b.probe(now)
+	b.lastArrivalAt = now
+	b.enqueue(now, r)
+	b.placeQueued(now)
+	b.probeCandidates(now)
 }
 
-// estimate sets what is expected of the request's work, and so how long it may wait.
+// estimate sets the expected work of r and, from it, the latest times of its start.
 func (b *Balancer) estimate(r *request) {
 	c := r.class
-	r.work = cmp.Or(r.hint, c.work/c.runs)
-	if r.hint > 0 && c.hints > 0 {
-		r.work *= c.work / c.hints
+	r.work = cmp.Or(r.hint, c.workSeconds/c.sampleCount)
+	if r.hint > 0 && c.hintSeconds > 0 {
+		r.work *= c.workSeconds / c.hintSeconds
 	}
-	r.aimBy = min(r.answerBy, r.arrived+c.Aim+seconds(max(0, c.Stretch-b.pace())*r.work))
-	if r.hopeBy = r.aimBy; c.Late > 0 {
-		r.hopeBy = r.answerBy
+	r.onTimeStartBy = min(r.respondBy, r.firstTryAt+c.Aim+seconds(max(0, c.Stretch-b.slowdown())*r.work))
+	if r.usefulStartBy = r.onTimeStartBy; c.Late > 0 {
+		r.usefulStartBy = r.respondBy
 	}
 }
 
-// newHome draws a home about this dispatcher's own place on the ring, among twice as many workers as it has
-// jobs running: a small dispatcher would else never meet a worker that it knows, or has a connection to.
-func (b *Balancer) newHome() float64 {
-	place, spread := b.placeOf(b.s.Self)
-	return math.Mod(1+place+spread*(b.rng.Float64()-0.5), 1)
+// drawHome draws a home around this dispatcher's own position on the ring, among twice as many workers as it
+// has jobs running. Otherwise a dispatcher with little traffic would rarely use a worker of which it has
+// recent figures or an open connection.
+func (b *Balancer) drawHome() float64 {
+	position, spread := b.ringPosition(b.settings.Self)
+	return math.Mod(1+position+spread*(b.rng.Float64()-0.5), 1)
 }
 
-// placeOf is a dispatcher's place on the ring, and the share of the ring in which this one has its homes.
-func (b *Balancer) placeOf(who int) (place, spread float64) {
-	own := max(1, 2*b.runMean/max(b.gap, 1e-6))
-	return (float64(who) + 0.5) / float64(b.s.Fleet), min(1, own/float64(max(1, len(b.ring))))
+// ringPosition returns a dispatcher's position on the ring and the share of the ring over which this
+// dispatcher spreads its homes.
+func (b *Balancer) ringPosition(dispatcher int) (position, spread float64) {
+	homes := max(1, 2*b.meanJobSeconds/max(b.arrivalGap, 1e-6))
+	return (float64(dispatcher) + 0.5) / float64(b.settings.Fleet), min(1, homes/float64(max(1, len(b.ring))))
 }
 
-func (b *Balancer) hold(now time.Duration, r *request) {
-	r.held, b.held = true, append(b.held, r)
-	b.wake(now, r, min(r.hopeBy, r.answerBy))
+// enqueue adds r to the queue and schedules a review for its latest useful start.
+func (b *Balancer) enqueue(now time.Duration, r *request) {
+	r.queued, b.queued = true, append(b.queued, r)
+	b.scheduleReview(now, r, min(r.usefulStartBy, r.respondBy))
 }
 
-// wake asks for a review of r at the given time, unless an earlier one is on its way.
-func (b *Balancer) wake(now time.Duration, r *request, at time.Duration) {
-	at = max(at, now).Truncate(time.Microsecond) + time.Microsecond // hosts count in whole microseconds
-	if r.wakeAt > now && r.wakeAt <= at {
+// scheduleReview sets a timer for a review of r at the given time, unless an earlier one is set.
+func (b *Balancer) scheduleReview(now time.Duration, r *request, at time.Duration) {
+	at = max(at, now).Truncate(time.Microsecond) + time.Microsecond // hosts round to microseconds
+	if r.reviewAt > now && r.reviewAt <= at {
 		return
 	}
-	r.wakeAt = at
-	b.do(Action{Kind: Wake, Timer: r.id, After: at - now})
+	r.reviewAt = at
+	b.emit(Action{Kind: Wake, Timer: r.id, After: at - now})
 }
 
-// close ends what the dispatcher owes for r and stops its attempts.
+// close marks r as done, cancels its attempts and takes it from the queue.
 func (b *Balancer) close(now time.Duration, r *request, reason Reason) {
 	r.done = true
 	for i := range r.attempts {
 		b.cancel(r, i, reason)
 	}
-	if r.held {
-		r.held = false
-		b.held = slices.DeleteFunc(b.held, func(x *request) bool { return x == r })
+	if r.queued {
+		r.queued = false
+		b.queued = slices.DeleteFunc(b.queued, func(x *request) bool { return x == r })
 	}
-	b.forget(r)
+	b.removeFinished(r)
 }
 
-// forget drops a request that is over once nothing of it is out; the next one of its key may go then. An
-// attempt that was given up counts until its end is told, as it may run until then.
-func (b *Balancer) forget(r *request) {
-	if !r.done || r.outs > 0 {
+// removeFinished deletes a request that is done and has no attempt in flight. The next request of its key may
+// then go. A cancelled attempt counts as in flight until its end is reported, as it may run until then.
+func (b *Balancer) removeFinished(r *request) {
+	if !r.done || r.inFlight > 0 {
 		return
 	}
-	delete(b.reqs, r.id)
-	if l := r.line; l != nil {
-		l.reqs = slices.DeleteFunc(l.reqs, func(x *request) bool { return x == r })
-		l.rest = max(l.rest, r.doubt)
+	delete(b.requests, r.id)
+	if queue := r.keyQueue; queue != nil {
+		queue.requests = slices.DeleteFunc(queue.requests, func(x *request) bool { return x == r })
+		queue.pausedUntil = max(queue.pausedUntil, r.mayRunUntil)
 	}
 }
 
-// join puts r at the end of its key's line. Lines empty and rested go, or memory would grow with the day.
-func (b *Balancer) join(now time.Duration, r *request, key string) {
-	maps.DeleteFunc(b.lines, func(_ string, l *line) bool { return len(l.reqs) == 0 && now >= l.rest })
-	if b.lines[key] == nil {
-		b.lines[strings.Clone(key)] = &line{} // the host's text may be part of something longer
+// joinKeyQueue appends r to the queue of its key. It deletes queues that are empty and whose pause is over,
+// as memory would otherwise grow without limit.
+func (b *Balancer) joinKeyQueue(now time.Duration, r *request, key string) {
+	maps.DeleteFunc(b.keyQueues, func(_ string, queue *keyQueue) bool {
+		return len(queue.requests) == 0 && now >= queue.pausedUntil
+	})
+	if b.keyQueues[key] == nil {
+		b.keyQueues[strings.Clone(key)] = &keyQueue{} // cloned, as key may share a larger buffer
 	}
-	r.line = b.lines[key]
-	r.line.reqs = append(r.line.reqs, r)
+	r.keyQueue = b.keyQueues[key]
+	r.keyQueue.requests = append(r.keyQueue.requests, r)
 }
 
-// mayGo says whether the order of its key and the budget of further attempts let r go, to any worker.
-func (b *Balancer) mayGo(now time.Duration, r *request) bool {
-	l := r.line
-	return (l == nil || l.reqs[0] == r && now >= l.rest) && (len(r.attempts) == 0 || b.mayRetry(now))
+// maySendNow reports whether the order of its key and the budget of further attempts allow r to go to any
+// worker.
+func (b *Balancer) maySendNow(now time.Duration, r *request) bool {
+	queue := r.keyQueue
+	return (queue == nil || queue.requests[0] == r && now >= queue.pausedUntil) &&
+		(len(r.attempts) == 0 || b.mayRetry(now))
 }
 
-// mayRetry keeps the stated budget of further attempts in any window, also one that begins after the requests
-// that paid: those since each of the latest, one more included, stay within what was paid since then.
+// mayRetry reports whether one more further attempt stays within the budget of every window that ends now,
+// including windows that start after the requests that earned the attempts. For each recent further attempt,
+// the number since then, one more included, must not exceed what was earned since then.
 func (b *Balancer) mayRetry(now time.Duration) bool {
-	from := now - b.s.ExtraWindow - b.s.Tick
-	b.extras = slices.DeleteFunc(b.extras, func(x mark) bool { return x.at < from })
-	n := len(b.extras) + 1
-	for k, x := range append(b.extras, mark{now, b.paid}) {
-		if b.s.ExtraWindow > 0 && float64(n-k) > b.s.ExtraFree+b.paid-x.x {
+	windowStart := now - b.settings.ExtraWindow - b.settings.Tick
+	b.furtherAttempts = slices.DeleteFunc(b.furtherAttempts, func(earlier sample) bool {
+		return earlier.at < windowStart
+	})
+	count := len(b.furtherAttempts) + 1
+	for index, earlier := range append(b.furtherAttempts, sample{now, b.earnedAttempts}) {
+		if b.settings.ExtraWindow > 0 &&
+			float64(count-index) > b.settings.ExtraFree+b.earnedAttempts-earlier.value {
 			return false
 		}
 	}
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -559,13 +559,13 @@
 	for len(d.out) > 0 {
 		d.end(0, Cancelled)
 	}
-	for _, l := range d.b.lines {
-		if len(l.reqs) > 0 {
+	for _, l := range d.b.keyQueues {
+		if len(l.requests) > 0 {
 			t.Fatalf("seed %d: requests kept in the line of a key after all is over", seed)
 		}
 	}
-	if len(d.b.reqs) > 0 || len(d.b.held) > 0 {
-		t.Fatalf("seed %d: %d requests kept after all is over", seed, len(d.b.reqs))
+	if len(d.b.requests) > 0 || len(d.b.queued) > 0 {
+		t.Fatalf("seed %d: %d requests kept after all is over", seed, len(d.b.requests))
 	}
 }
 
