--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -11,48 +11,53 @@
 	"time"
 )
 
-// base gives settings in which nothing special is allowed.
-func base() Settings {
+// baseSettings returns settings that allow no optional behaviour.
+func baseSettings() Settings {
 	return Settings{Fleet: 2, Zone: "a", Tick: ms, ReportsFree: true, MaxAttempts: 3, AnswerSlack: 20 * ms,
 		ColdFrom: 0.3, ColdFor: 10 * time.Second, DrainGrace: 250 * ms, FallMultiple: 3, FallWindow: time.Second,
 		Classes: []Class{{Name: "c", Aim: 200 * ms, Stretch: 2, Deadline: 5 * time.Second, Worth: 1}}}
 }
 
-// bench drives a Balancer by hand.
-type bench struct {
-	t    *testing.T
-	b    *Balancer
-	now  time.Duration
-	next uint64
+// harness drives a Balancer step by step.
+type harness struct {
+	t        *testing.T
+	balancer *Balancer
+	now      time.Duration
+	nextID   uint64
 }
 
-func start(t *testing.T, s Settings, members ...Member) *bench {
+// newHarness returns a harness for a new Balancer that has received members as its worker list.
+func newHarness(t *testing.T, s Settings, members ...Member) *harness {
 	t.Helper()
 	b, err := New(s, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &bench{t: t, b: b, now: time.Hour}
+	h := &harness{t: t, balancer: b, now: time.Hour}
 	h.step(Event{Kind: Listed, List: FromDisk, Members: members})
 	return h
 }
 
-func fleet(n int) []Member {
-	var ms []Member
+// newMembers returns n ready workers of zone a, named w00, w01 and so on.
+func newMembers(n int) []Member {
+	var members []Member
 	for i := range n {
-		ms = append(ms, Member{ID: fmt.Sprintf("w%02d", i), Zone: "a", Cell: "0"})
+		members = append(members, Member{ID: fmt.Sprintf("w%02d", i), Zone: "a", Cell: "0"})
 	}
-	return ms
+	return members
 }
 
-func (h *bench) step(ev Event) []Action { return h.b.Step(h.now, &ev, nil) }
+// step delivers an event to the Balancer and returns its actions.
+func (h *harness) step(ev Event) []Action { return h.balancer.Step(h.now, &ev, nil) }
 
-func (h *bench) request() (uint64, []Action) {
-	h.next++
-	return h.next, h.step(Event{Kind: Arrived, Request: h.next, Class: "c", Budget: 5 * time.Second, Slots: 1})
+// request delivers a new request of class c and returns its number and the resulting actions.
+func (h *harness) request() (uint64, []Action) {
+	h.nextID++
+	return h.nextID, h.step(Event{Kind: Arrived, Request: h.nextID, Class: "c", Budget: 5 * time.Second, Slots: 1})
 }
 
-func find(acts []Action, kind ActionKind) *Action {
+// findAction returns the first action of a kind, or nil.
+func findAction(acts []Action, kind ActionKind) *Action {
 	for i := range acts {
 		if acts[i].Kind == kind {
 			return &acts[i]
@@ -61,22 +66,23 @@
 	return nil
 }
 
-// sent sends one request and returns it with its worker.
-func (h *bench) sent() (uint64, string) {
+// sendRequest delivers a request that must be sent at once, and returns its number and its worker.
+func (h *harness) sendRequest() (uint64, string) {
 	h.t.Helper()
 	id, acts := h.request()
-	a := find(acts, Send)
+	a := findAction(acts, Send)
 	if a == nil {
 		h.t.Fatalf("request %d was not sent: %+v", id, acts)
 	}
 	return id, a.Worker
 }
 
-func (h *bench) end(id uint64, worker string, res Result, rep Report) []Action {
+// end delivers the end of the first attempt of a request and returns the resulting actions.
+func (h *harness) end(id uint64, worker string, res Result, rep Report) []Action {
 	return h.step(Event{Kind: Ended, Request: id, Worker: worker, Result: res, Final: res == OK, Report: rep})
 }
 
-// Each file of the module is short. Those that hold decisions are named in the deploy file, and their lines are short.
+// Every file of the package is short. Files that hold decisions have short lines and are listed in the deploy file.
 func TestModuleSize(t *testing.T) {
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
@@ -92,7 +98,7 @@
 			continue
 		}
 		if !slices.Contains(interfaces, name) && !strings.Contains(string(deploy), `"balance/`+name+`"`) {
-			t.Errorf("%s is not in the deploy file's policy", name)
+			t.Errorf("%s is missing in the policy of the deploy file", name)
 		}
 		text, err := os.ReadFile(name)
 		if err != nil {
@@ -100,7 +106,7 @@
 		}
 		lines := strings.Split(string(text), "\n")
 		if name == "balance.go" && !strings.Contains(lines[0], "balance/api.go") {
-			t.Error("the module does not open by naming balance/api.go")
+			t.Error("the first line of balance.go does not name balance/api.go")
 		}
 		if len(lines) > 600 {
 			t.Errorf("%s has %d lines, over 600", name, len(lines))
@@ -117,41 +123,41 @@
 }
 
 func TestNewRefusesImpossibleSettings(t *testing.T) {
-	for name, spoil := range map[string]func(*Settings){
+	for name, invalidate := range map[string]func(*Settings){
 		"no classes":                         func(s *Settings) { s.Classes = nil },
 		"no attempts":                        func(s *Settings) { s.MaxAttempts = 0 },
 		"no fleet":                           func(s *Settings) { s.Fleet = 0 },
-		"cold share":                         func(s *Settings) { s.ColdFrom = 0 },
+		"cold share of 0":                    func(s *Settings) { s.ColdFrom = 0 },
 		"negative window":                    func(s *Settings) { s.FallWindow = -1 },
 		"negative tick":                      func(s *Settings) { s.Tick = -1 },
 		"negative budget window":             func(s *Settings) { s.ExtraWindow = -1 },
 		"negative share of further attempts": func(s *Settings) { s.ExtraRatio = -0.1 },
 		"free further attempts not a number": func(s *Settings) { s.ExtraFree = math.NaN() },
-		"negative rest":                      func(s *Settings) { s.OrderRest = -1 },
-		"class twice":                        func(s *Settings) { s.Classes = append(s.Classes, s.Classes[0]) },
+		"negative key pause":                 func(s *Settings) { s.OrderRest = -1 },
+		"duplicate class":                    func(s *Settings) { s.Classes = append(s.Classes, s.Classes[0]) },
 		"no deadline":                        func(s *Settings) { s.Classes[0].Deadline = 0 },
 	} {
-		s := base()
-		spoil(&s)
+		s := baseSettings()
+		invalidate(&s)
 		if _, err := New(s, 1); err == nil {
 			t.Errorf("%s: no error", name)
 		}
 	}
 }
 
-// A request is answered before its deadline though there is no worker at all.
-func TestAnswersWithoutWorkers(t *testing.T) {
-	h := start(t, base())
+// A request gets its final response before its deadline even if there is no worker.
+func TestRefusesWithoutWorkers(t *testing.T) {
+	h := newHarness(t, baseSettings())
 	id, acts := h.request()
-	wake := find(acts, Wake)
-	if wake == nil || find(acts, Send) != nil {
+	wake := findAction(acts, Wake)
+	if wake == nil || findAction(acts, Send) != nil {
 		t.Fatalf("want a timer and no send: %+v", acts)
 	}
 	h.now += wake.After
-	if a := find(h.step(Event{Kind: TimerDue, Timer: wake.Timer}), Refuse); a == nil || a.Request != id {
-		t.Fatal("not refused when its hope was over")
+	if a := findAction(h.step(Event{Kind: TimerDue, Timer: wake.Timer}), Refuse); a == nil || a.Request != id {
+		t.Fatal("not refused after its latest useful start")
 	}
-	if len(h.b.requests) != 0 {
-		t.Fatal("the request is still kept")
+	if len(h.balancer.requests) != 0 {
+		t.Fatal("the request is still stored")
 	}
 }
--- a/balance/cold_test.go
+++ b/balance/cold_test.go
@@ -8,69 +8,73 @@
 	"time"
 )
 
-// Failure: with many dispatchers an equal share of a cold worker's budget held no job, so new workers idled. All
-// dispatchers are run here with more work than there is room for, and one now and then loses its memory. Where they
-// speak, a fifth of their words is lost and the rest 30 ms old. Failure (vast days): where they took turns of a second,
-// each cold worker was left to one of eighty dispatchers, and more than half of what could be used idled.
-func TestCrowdSparesColdWorkers(t *testing.T) {
+// Failure: with many dispatchers an equal share of a cold worker's budget was too small for a job, so new workers
+// idled.
+//
+// Failure (80 dispatchers): when dispatchers took turns of a second, each cold worker was available to one of them
+// only, and more than half of the usable budget was lost.
+//
+// The test runs all dispatchers with more work than the workers can do. From time to time a dispatcher restarts and
+// loses its state. Where dispatchers exchange messages, a fifth of them is lost and the rest arrive after 30 ms.
+func TestFleetStaysWithinColdBudgets(t *testing.T) {
 	for _, c := range []struct {
-		many, least int // dispatchers; jobs that the five cold workers must get, of some 430 that they can do
-		speak       bool
+		dispatchers, minJobs int // minJobs: for the five cold workers, of about 430 that they can do
+		peers                bool
 	}{{1, 1, false}, {3, 1, false}, {50, 1, false}, {200, 1, false}, {3, 250, true}, {80, 250, true}} {
-		many := c.many
-		rng := rand.New(rand.NewPCG(uint64(many), 1))
+		dispatchers := c.dispatchers
+		rng := rand.New(rand.NewPCG(uint64(dispatchers), 1))
 		const workers, slots, work = 20, 4.0, 300 * ms
-		s := base()
-		s.Fleet, s.Subscribe, s.Peers = many, false, c.speak
-		members := fleet(workers)
+		s := baseSettings()
+		s.Fleet, s.Subscribe, s.Peers = dispatchers, false, c.peers
+		members := newMembers(workers)
 		for i := 0; i < workers; i += 4 {
 			members[i].Started = time.Hour
 		}
-		all, now := make([]*bench, many), time.Hour
+		harnesses, now := make([]*harness, dispatchers), time.Hour
 		restart := func(i int) {
 			s.Self = i
 			b, err := New(s, rng.Uint64())
 			if err != nil {
 				t.Fatal(err)
 			}
-			all[i] = &bench{t: t, b: b, now: now}
-			all[i].step(Event{Kind: Listed, List: FromDisk, Members: members})
+			harnesses[i] = &harness{t: t, balancer: b, now: now}
+			harnesses[i].step(Event{Kind: Listed, List: FromDisk, Members: members})
 		}
-		for i := range many {
+		for i := range dispatchers {
 			restart(i)
 		}
-		type running struct {
-			h      *bench
+		type runningJob struct {
+			h      *harness
 			id     uint64
 			worker string
 			ends   time.Duration
 		}
-		var out []running
+		var running []runningJob
 		sends := map[string][]time.Duration{}
-		words := make([]map[string]float64, many)
-		begin := func(h *bench, acts []Action) {
+		announced := make([]map[string]float64, dispatchers)
+		recordSends := func(h *harness, acts []Action) {
 			for _, a := range acts {
 				if a.Kind == Send {
-					out = append(out, running{h, a.Request, a.Worker, now + work})
+					running = append(running, runningJob{h, a.Request, a.Worker, now + work})
 					sends[a.Worker] = append(sends[a.Worker], now)
 				}
 			}
 		}
 		for ; now < time.Hour+10*time.Second; now += 5 * ms {
-			for who := int(now/(5*ms)) % 8; c.speak && who < many; who += 8 { // each one every 40 ms
-				for i, h := range all {
-					if h.now = now; i != who && rng.IntN(5) > 0 && words[who] != nil {
-						begin(h, h.step(Event{Kind: PeerSpoke, Who: who, Loads: words[who]}))
+			for who := int(now/(5*ms)) % 8; c.peers && who < dispatchers; who += 8 { // each sends every 40 ms
+				for i, h := range harnesses {
+					if h.now = now; i != who && rng.IntN(5) > 0 && announced[who] != nil {
+						recordSends(h, h.step(Event{Kind: PeerSpoke, Who: who, Loads: announced[who]}))
 					}
 				}
-				words[who] = nil
+				announced[who] = nil
 			}
-			for who := (int(now/(5*ms)) + 6) % 8; c.speak && who < many; who += 8 { // and heard 30 ms later
-				words[who] = map[string]float64{}
-				all[who].b.Out(func(w string, slots float64) { words[who][w] = slots })
+			for who := (int(now/(5*ms)) + 6) % 8; c.peers && who < dispatchers; who += 8 { // delivered 30 ms later
+				announced[who] = map[string]float64{}
+				harnesses[who].balancer.Out(func(w string, slots float64) { announced[who][w] = slots })
 			}
-			var due []running
-			out = slices.DeleteFunc(out, func(r running) bool {
+			var due []runningJob
+			running = slices.DeleteFunc(running, func(r runningJob) bool {
 				if r.ends <= now {
 					due = append(due, r)
 				}
@@ -79,22 +83,22 @@
 			for _, r := range due {
 				r.h.now = now
 				n := 0.0
-				for _, x := range out {
+				for _, x := range running {
 					if x.worker == r.worker {
 						n++
 					}
 				}
-				begin(r.h, r.h.end(r.id, r.worker, OK, Report{Present: true, InFlight: n, Waiting: max(0, n-slots),
+				recordSends(r.h, r.h.end(r.id, r.worker, OK, Report{Present: true, InFlight: n, Waiting: max(0, n-slots),
 					Free: max(0, slots-n)}))
 			}
-			for range 4 { // three times the work that all can do: 800 a second for 80 slots at 0.3 s
-				if rng.IntN(500) == 0 { // one loses its memory, its work runs on
-					restart(rng.IntN(many))
+			for range 4 { // three times the capacity: 800 requests a second for 80 slots at 0.3 s
+				if rng.IntN(500) == 0 { // a restart loses the state; running jobs continue
+					restart(rng.IntN(dispatchers))
 				}
-				h := all[rng.IntN(many)]
+				h := harnesses[rng.IntN(dispatchers)]
 				h.now = now
 				_, acts := h.request()
-				begin(h, acts)
+				recordSends(h, acts)
 			}
 		}
 		used := 0
@@ -110,46 +114,47 @@
 				}
 				warm := s.ColdFrom + (1-s.ColdFrom)*(end-time.Hour).Seconds()/s.ColdFor.Seconds()
 				if sum, budget := float64(n)*work.Seconds(), s.FallMultiple*slots*warm*s.FallWindow.Seconds(); sum > budget {
-					t.Errorf("%d dispatchers: %.1f s of work in a window with a budget of %.1f", many, sum, budget)
+					t.Errorf("%d dispatchers: %.1f s of work in a window with a budget of %.1f", dispatchers, sum, budget)
 				}
 			}
 		}
-		if used < c.least {
-			t.Errorf("%d dispatchers: %d jobs for five cold workers in 10 s", many, used)
+		if used < c.minJobs {
+			t.Errorf("%d dispatchers: %d jobs for five cold workers in 10 s", dispatchers, used)
 		}
 	}
 }
 
-// Failure (found in reading): what others told to have sent was taken off before the allowance was reckoned up to
-// then. A dispatcher that had not looked at the worker for a while refilled past it, and sent at once on top.
-func TestColdAllowanceIsReckonedBeforeItIsSpent(t *testing.T) {
-	s := base()
+// Failure: the announced sends of others were subtracted before the bucket was refilled. A dispatcher that had not
+// used the worker for a while then refilled the bucket and sent at once in addition.
+func TestColdTokensAreRefilledBeforeTheyAreSpent(t *testing.T) {
+	s := baseSettings()
 	s.Peers = true
-	cold := fleet(1)
+	cold := newMembers(1)
 	cold[0].Started = time.Hour
-	h := start(t, s, cold...)
-	w, r := h.b.ring[0], &request{class: h.b.classes["c"], slots: 1, work: 0.05}
-	h.b.coldBudgetAllows(h.now, r, w)
-	h.now += 2 * time.Second // full by now, though nobody looked
+	h := newHarness(t, s, cold...)
+	w, r := h.balancer.ring[0], &request{class: h.balancer.classes["c"], slots: 1, work: 0.05}
+	h.balancer.coldBudgetAllows(h.now, r, w)
+	h.now += 2 * time.Second // the bucket would be full by now if it had been refilled
 	h.step(Event{Kind: PeerSpoke, Who: 1, Loads: map[string]float64{"w00": 4}})
-	if h.b.coldBudgetAllows(h.now, r, w) {
+	if h.balancer.coldBudgetAllows(h.now, r, w) {
 		t.Errorf("%.2f s of work may be sent right after others sent four jobs", w.tokens)
 	}
 	h.now += 2 * time.Second
-	if !h.b.coldBudgetAllows(h.now, r, w) {
+	if !h.balancer.coldBudgetAllows(h.now, r, w) {
 		t.Errorf("nothing may be sent two seconds later: %.2f s", w.tokens)
 	}
 }
 
-// What the schedulers agreed on bounds a class's attempts, within what the settings allow, and what cold workers get.
-func TestAgreedBounds(t *testing.T) {
+// The limits that the schedulers agreed on apply to the attempts of a class, up to MaxAttempts, and to the load of
+// cold workers.
+func TestAgreedLimits(t *testing.T) {
 	tries := func(caps map[string]int) (n int) {
-		h := start(t, base(), fleet(6)...)
+		h := newHarness(t, baseSettings(), newMembers(6)...)
 		h.step(Event{Kind: Ruled, Caps: caps, Cold: 1})
-		id, at := h.sent()
+		id, at := h.sendRequest()
 		for n = 1; ; n++ {
 			acts := h.step(Event{Kind: Ended, Request: id, Attempt: n - 1, Worker: at, Result: Failed})
-			a := find(acts, Send)
+			a := findAction(acts, Send)
 			if a == nil {
 				return n
 			}
@@ -165,66 +170,66 @@
 		t.Fatalf("more attempts than the settings allow: %d", n)
 	}
 	burst := func(cold float64) float64 {
-		ms := fleet(1)
-		ms[0].Started = time.Hour - time.Second
-		h := start(t, base(), ms...)
+		members := newMembers(1)
+		members[0].Started = time.Hour - time.Second
+		h := newHarness(t, baseSettings(), members...)
 		h.step(Event{Kind: Ruled, Cold: cold})
-		return h.b.refillTokens(h.now, h.b.workers["w00"])
+		return h.balancer.refillTokens(h.now, h.balancer.workers["w00"])
 	}
 	if all, half := burst(1), burst(0.5); math.Abs(half/all-0.5) > 1e-9 || burst(0) != 0 {
-		t.Fatalf("a cold worker's allowance: %g, and half of it %g, and none %g", all, half, burst(0))
+		t.Fatalf("budget of a cold worker: %g; with factor 0.5: %g; with factor 0: %g", all, half, burst(0))
 	}
 }
 
-// Failure: all dispatchers that waited for a cold worker sent there in the moment in which they heard of a free slot,
-// before they could hear of one another, and the worker fell.
-func TestDispatchersTakeAFreedSlotOfAColdWorkerOneByOne(t *testing.T) {
-	const many, wordTakes = 30, 15 * ms
-	cold := fleet(1)
+// Failure: all dispatchers that waited for a cold worker sent to it when they learned of a free slot, before they
+// could receive each other's messages. The worker collapsed.
+func TestDispatchersBackOffFromAFreedColdSlot(t *testing.T) {
+	const dispatchers, messageDelay = 30, 15 * ms
+	cold := newMembers(1)
 	cold[0].Started = time.Hour
-	all := make([]*bench, many)
-	for i := range all {
-		s := base()
-		s.Fleet, s.Self, s.Peers = many, i, true
+	harnesses := make([]*harness, dispatchers)
+	for i := range harnesses {
+		s := baseSettings()
+		s.Fleet, s.Self, s.Peers = dispatchers, i, true
 		b, err := New(s, uint64(i))
 		if err != nil {
 			t.Fatal(err)
 		}
-		all[i] = &bench{t: t, b: b, now: time.Hour}
-		all[i].step(Event{Kind: Listed, List: FromDisk, Members: cold})
-		all[i].now += 2 * time.Second
-		all[i].step(Event{Kind: PeerSpoke, Who: (i + 1) % many, Loads: map[string]float64{"w00": 2}})
-		all[i].now += 2 * time.Second // the allowance is full again
-		if _, acts := all[i].request(); find(acts, Send) != nil {
-			t.Fatal("sent to a worker that is told to be full")
+		harnesses[i] = &harness{t: t, balancer: b, now: time.Hour}
+		harnesses[i].step(Event{Kind: Listed, List: FromDisk, Members: cold})
+		harnesses[i].now += 2 * time.Second
+		harnesses[i].step(Event{Kind: PeerSpoke, Who: (i + 1) % dispatchers, Loads: map[string]float64{"w00": 2}})
+		harnesses[i].now += 2 * time.Second // the bucket is full again
+		if _, acts := harnesses[i].request(); findAction(acts, Send) != nil {
+			t.Fatal("sent to a worker that is announced as full")
 		}
 	}
 	var sends []time.Duration
-	freedAt := all[0].now
+	freedAt := harnesses[0].now
 	for now := freedAt; now < freedAt+time.Second; now += ms {
-		for i, h := range all {
+		for i, h := range harnesses {
 			h.now = now
 			ev := Event{Kind: TimerDue, Timer: queueTimer}
 			if now == freedAt {
-				ev = Event{Kind: PeerSpoke, Who: (i + 1) % many}
+				ev = Event{Kind: PeerSpoke, Who: (i + 1) % dispatchers}
 			}
-			if find(h.step(ev), Send) != nil {
+			if findAction(h.step(ev), Send) != nil {
 				sends = append(sends, now)
 			}
 		}
 	}
-	if len(sends) < many/2 {
-		t.Errorf("%d of %d dispatchers sent within a second, though none heard of another", len(sends), many)
+	if len(sends) < dispatchers/2 {
+		t.Errorf("%d of %d dispatchers sent within a second, though none received messages of others", len(sends), dispatchers)
 	}
-	together := 0
+	simultaneous := 0
 	for i, from := range sends {
 		n := 0
-		for n < len(sends)-i && sends[i+n] < from+wordTakes {
+		for n < len(sends)-i && sends[i+n] < from+messageDelay {
 			n++
 		}
-		together = max(together, n)
+		simultaneous = max(simultaneous, n)
 	}
-	if together >= 7 { // a worker that is allowed one falls at 1 + 3 x root of 1 + 3
-		t.Errorf("%d dispatchers sent within the time of a word", together)
+	if simultaneous >= 7 { // a worker with a limit of 1 collapses at 1 + 3 x sqrt(1) + 3
+		t.Errorf("%d dispatchers sent within one message delay", simultaneous)
 	}
 }
--- a/balance/draw_test.go
+++ b/balance/draw_test.go
@@ -7,39 +7,40 @@
 	"time"
 )
 
-// A worker that drains gets nothing more at once; one that a complete list lacks is gone.
-func TestDrainLeavesTheRing(t *testing.T) {
-	h := start(t, base(), fleet(3)...)
+// A draining worker gets no more requests from that moment on. A worker that is missing in a complete list is
+// removed.
+func TestDrainingWorkerGetsNoRequests(t *testing.T) {
+	h := newHarness(t, baseSettings(), newMembers(3)...)
 	h.step(Event{Kind: Listed, List: Changes, Members: []Member{{ID: "w00", Zone: "a", State: Draining}}})
 	h.step(Event{Kind: Listed, List: Whole, Members: []Member{{ID: "w00", Zone: "a", State: Draining}, {ID: "w02", Zone: "a"}}})
 	for range 20 {
-		id, w := h.sent()
+		id, w := h.sendRequest()
 		if w != "w02" {
 			t.Fatalf("sent to %s", w)
 		}
 		h.end(id, w, OK, Report{})
 	}
-	if len(h.b.workers) != 1 {
-		t.Errorf("%d workers remembered", len(h.b.workers))
+	if len(h.balancer.workers) != 1 {
+		t.Errorf("%d workers are still stored", len(h.balancer.workers))
 	}
 }
 
-// The draw is the softmax of the costs, over the home and its neighbours alone.
+// The draw is the softmax of the costs over the home and its neighbours only.
 func TestDrawIsSoftmaxOfNeighbours(t *testing.T) {
-	h := start(t, base(), fleet(30)...)
-	for i, w := range h.b.ring {
+	h := newHarness(t, baseSettings(), newMembers(30)...)
+	for i, w := range h.balancer.ring {
 		w.slots, w.reportedAt, w.otherSlots = 10, h.now, float64(i%4)
 	}
-	r := &request{class: h.b.classes["c"], slots: 1, home: 0.5, firstTryAt: h.now, usefulStartBy: h.now + time.Second}
+	r := &request{class: h.balancer.classes["c"], slots: 1, home: 0.5, firstTryAt: h.now, usefulStartBy: h.now + time.Second}
 	weights, sum, counts := map[string]float64{}, 0.0, map[string]float64{}
 	for i := 15 - neighbours; i <= 15+neighbours; i++ {
-		w := h.b.ring[i]
-		weights[w.ID] = math.Exp(-inverseTemperature * h.b.cost(h.now, w, 0))
+		w := h.balancer.ring[i]
+		weights[w.ID] = math.Exp(-inverseTemperature * h.balancer.cost(h.now, w, 0))
 		sum += weights[w.ID]
 	}
 	const draws = 20000
 	for range draws {
-		counts[h.b.draw(h.now, r).ID]++
+		counts[h.balancer.draw(h.now, r).ID]++
 	}
 	if len(counts) != 2*neighbours+1 {
 		t.Errorf("%d workers drawn from, want %d", len(counts), 2*neighbours+1)
@@ -51,35 +52,35 @@
 	}
 }
 
-// Failure: of a large ring, a small dispatcher had the figures of a few workers, and its homes were elsewhere.
-// A busy one needs all workers.
-func TestSmallDispatchersKeepToTheirPlace(t *testing.T) {
+// Failure: on a large ring, a dispatcher with little traffic had load figures of a few workers only, and the homes of
+// its requests were elsewhere. A dispatcher with much traffic needs all workers.
+func TestDispatchersWithLittleTrafficUseFewWorkers(t *testing.T) {
 	used := func(gap time.Duration) int { // jobs run 300 ms
-		s := base()
+		s := baseSettings()
 		s.Fleet, s.Self = 40, 13
-		h := start(t, s, fleet(80)...)
-		workers, out := map[string]bool{}, []Action{}
-		take := func(acts []Action) {
+		h := newHarness(t, s, newMembers(80)...)
+		workers, inFlight := map[string]bool{}, []Action{}
+		recordSends := func(acts []Action) {
 			for _, a := range acts {
 				if a.Kind == Send {
 					workers[a.Worker] = true
 					a.After = h.now + 300*ms
-					out = append(out, a)
+					inFlight = append(inFlight, a)
 				}
 			}
 		}
 		for i := range 2000 {
 			h.now += gap
-			if i == 1000 { // it knows its traffic by now
+			if i == 1000 { // the arrival gap is settled by now
 				clear(workers)
 			}
-			for len(out) > 0 && out[0].After <= h.now {
-				a := out[0]
-				out = out[1:]
-				take(h.end(a.Request, a.Worker, OK, Report{}))
+			for len(inFlight) > 0 && inFlight[0].After <= h.now {
+				a := inFlight[0]
+				inFlight = inFlight[1:]
+				recordSends(h.end(a.Request, a.Worker, OK, Report{}))
 			}
 			_, acts := h.request()
-			take(acts)
+			recordSends(acts)
 		}
 		return len(workers)
 	}
@@ -91,16 +92,16 @@
 	}
 }
 
-// Failure: of hundreds of small dispatchers, each opened a new connection for most jobs, at a price.
+// Failure: hundreds of dispatchers with little traffic each opened a new connection for most jobs, which has a price.
 func TestOpenConnectionsArePreferred(t *testing.T) {
-	s := base()
+	s := baseSettings()
 	s.Prices.Handshake, s.ConnIdle = 0.05, 5*time.Second
-	h := start(t, s, fleet(11)...)
-	id, first := h.sent()
+	h := newHarness(t, s, newMembers(11)...)
+	id, first := h.sendRequest()
 	h.end(id, first, OK, Report{})
 	for i := range 20 {
 		h.now += time.Second
-		id, w := h.sent()
+		id, w := h.sendRequest()
 		if w != first {
 			t.Errorf("job %d went to %s, though a connection to %s was open and idle", i, w, first)
 		}
@@ -108,8 +109,8 @@
 	}
 	used := map[string]bool{}
 	for range 20 {
-		h.now += 6 * time.Second // closed by then
-		id, w := h.sent()
+		h.now += 6 * time.Second // connections are closed by then
+		id, w := h.sendRequest()
 		used[w] = true
 		h.end(id, w, OK, Report{})
 	}
@@ -118,17 +119,17 @@
 	}
 }
 
-// Where fetching what a key needs has a price, all dispatchers send a key to one home while it has room, and nearly
-// all keys keep theirs when a worker goes.
+// If fetching what a key needs has a price, all dispatchers send a key to the same home while it has capacity. When a
+// worker is removed, nearly all keys keep their home.
 func TestKeysHaveHomes(t *testing.T) {
 	homes := func(self, workers int) map[string]string {
-		s := base()
+		s := baseSettings()
 		s.Self, s.Fleet, s.Prices.Fetch = self, 9, 0.15
-		h := start(t, s, fleet(workers)...)
+		h := newHarness(t, s, newMembers(workers)...)
 		at := map[string]string{}
 		for i := range uint64(200) {
 			key := fmt.Sprint("key", i)
-			a := find(h.step(Event{Kind: Arrived, Request: i, Class: "c", Key: key, Budget: 5 * time.Second, Slots: 1}), Send)
+			a := findAction(h.step(Event{Kind: Arrived, Request: i, Class: "c", Key: key, Budget: 5 * time.Second, Slots: 1}), Send)
 			at[key] = a.Worker
 			h.end(i, a.Worker, OK, Report{Present: true, Free: 4})
 			h.now += ms
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -7,7 +7,7 @@
 	"cottonwell/balance"
 )
 
-// Two workers, one job: it is sent, and its answer ends it.
+// One request and two workers: the request is sent, and its response ends it.
 func Example() {
 	b, err := balance.New(balance.Settings{
 		Fleet: 1, MaxAttempts: 2, Tick: time.Millisecond, ColdFrom: 0.3, FallMultiple: 3,
--- a/balance/load_test.go
+++ b/balance/load_test.go
@@ -5,99 +5,100 @@
 	"time"
 )
 
-// Failure: identical reports of idle workers were skipped, the view faded into a stale busy mean and idle
-// workers were taken for full.
+// Failure: identical reports of idle workers were skipped. Their load estimate decayed to an outdated high mean, and
+// idle workers counted as full.
 func TestRepeatedIdleReportsStayFresh(t *testing.T) {
-	h := start(t, base(), fleet(3)...)
-	h.b.otherShare = 1 // all looked busy a while ago
+	h := newHarness(t, baseSettings(), newMembers(3)...)
+	h.balancer.otherShare = 1 // earlier reports showed all workers busy
 	idle := Report{Present: true, InFlight: 0, Waiting: 0, Free: 4}
 	for range 12 {
-		id, w := h.sent()
+		id, w := h.sendRequest()
 		h.now += 100 * ms
 		h.end(id, w, OK, idle)
 		h.now += 400 * ms
 	}
-	for _, w := range h.b.ring {
-		if w.reportedAt > 0 && h.b.load(h.now, w) > 2 {
-			t.Errorf("idle worker %s is taken for loaded with %.2f", w.ID, h.b.load(h.now, w))
+	for _, w := range h.balancer.ring {
+		if w.reportedAt > 0 && h.balancer.load(h.now, w) > 2 {
+			t.Errorf("idle worker %s has an estimated load of %.2f", w.ID, h.balancer.load(h.now, w))
 		}
 	}
 }
 
-// Failure: when reports came seconds late, own old work was taken for others'.
+// Failure: when reports arrived seconds late, the earlier own load in them counted as others'.
 func TestLateReportsAreRecognised(t *testing.T) {
-	h := start(t, base(), fleet(1)...)
-	w := h.b.ring[0]
+	h := newHarness(t, baseSettings(), newMembers(1)...)
+	w := h.balancer.ring[0]
 	w.slots = 4
 	own := func(at time.Duration) float64 { return float64((at / (700 * ms)) % 4) }
 	for i := range 400 {
 		now := time.Hour + time.Duration(i)*50*ms
 		w.ownSlots = own(now)
 		w.loadHistory = append(w.loadHistory, sample{now, w.ownSlots})
-		h.b.fitReportAge(now, w, own(now-1500*ms)+1)
+		h.balancer.fitReportAge(now, w, own(now-1500*ms)+1)
 		if len(w.loadHistory) > 64 {
 			w.loadHistory = w.loadHistory[32:]
 		}
 	}
-	if h.b.reportAge != 1500*ms {
-		t.Errorf("reports 1.5 s old are taken to be %v old", h.b.reportAge)
+	if h.balancer.reportAge != 1500*ms {
+		t.Errorf("reports that are 1.5 s old have an estimated age of %v", h.balancer.reportAge)
 	}
 }
 
-// Weights stay finite whatever is reported.
-func TestWildReports(t *testing.T) {
-	h := start(t, base(), fleet(5)...)
+// Costs stay finite whatever workers report.
+func TestExtremeReports(t *testing.T) {
+	h := newHarness(t, baseSettings(), newMembers(5)...)
 	for i := range 50 {
 		_, acts := h.request()
 		h.now += 100 * ms
-		if a := find(acts, Send); a != nil {
+		if a := findAction(acts, Send); a != nil {
 			h.end(a.Request, a.Worker, OK, Report{Present: true, InFlight: 1e17 * float64(i%3), Waiting: 1e17, Free: float64(i % 2)})
 		}
 	}
 	sum := 0.0
-	for _, w := range h.b.ring {
-		sum += h.b.cost(h.now, w, 0) + h.b.load(h.now, w)
+	for _, w := range h.balancer.ring {
+		sum += h.balancer.cost(h.now, w, 0) + h.balancer.load(h.now, w)
 	}
 	if sum != sum || sum > 1e300 {
 		t.Errorf("cost %v", sum)
 	}
 }
 
-// Failure: under shared slowness jobs were sent and withdrawn again and again for free slots that were none.
-func TestMissedStartsTeachCaution(t *testing.T) {
-	s := base()
+// Failure: while all workers were slow, jobs were repeatedly sent to slots that were not free, and cancelled again.
+func TestMissedStartsRaiseAssumedLoad(t *testing.T) {
+	s := baseSettings()
 	s.TellsStart, s.Duplicates, s.Cancel, s.Fleet = true, true, true, 1
-	h := start(t, s, fleet(6)...)
-	before := h.b.assumedLoad
+	h := newHarness(t, s, newMembers(6)...)
+	before := h.balancer.assumedLoad
 	for range 5 {
-		id, _ := h.sent()
+		id, _ := h.sendRequest()
 		h.now += 50 * ms
 		h.step(Event{Kind: TimerDue, Timer: id})
 		h.step(Event{Kind: Departed, Request: id})
 	}
-	missed := h.b.assumedLoad
+	missed := h.balancer.assumedLoad
 	if missed <= before {
-		t.Errorf("blind share %.2f after jobs that did not start, %.2f before", missed, before)
+		t.Errorf("assumed load %.2f after jobs that did not start, %.2f before", missed, before)
 	}
 	h.now += time.Minute
 	for range 50 {
-		id, w := h.sent()
+		id, w := h.sendRequest()
 		h.now += ms
 		h.step(Event{Kind: Noted, Request: id, Worker: w, Started: true})
 		h.now += 100 * ms
 		h.end(id, w, OK, Report{})
 	}
-	if h.b.assumedLoad >= missed {
-		t.Errorf("blind share %.2f after prompt starts, %.2f before", h.b.assumedLoad, missed)
+	if h.balancer.assumedLoad >= missed {
+		t.Errorf("assumed load %.2f after prompt starts, %.2f before", h.balancer.assumedLoad, missed)
 	}
 }
 
-// Failure: after a jam with late reports, dispatchers that had learned to take all workers for full served nobody.
-func TestCautionNeverTakesAllForFull(t *testing.T) {
-	s := base()
+// Failure: after an overload with late reports, dispatchers had learned to assume that all workers are full and
+// served no requests.
+func TestAssumedLoadLeavesCapacity(t *testing.T) {
+	s := baseSettings()
 	s.TellsStart, s.Cancel = true, true
-	h := start(t, s, fleet(6)...)
-	h.b.otherShare, h.b.lastReportAt = 1, h.now
+	h := newHarness(t, s, newMembers(6)...)
+	h.balancer.otherShare, h.balancer.lastReportAt = 1, h.now
 	for range 100 {
 		id, _ := h.request()
 		h.now += 200 * ms
@@ -105,41 +106,43 @@
 		h.step(Event{Kind: Departed, Request: id})
 	}
 	w := &worker{slots: 10}
-	h.b.lastReportAt = h.now
-	if h.b.assumedLoad <= assumedLoadStart {
-		t.Fatalf("blind share %.2f after jobs that did not start", h.b.assumedLoad)
+	h.balancer.lastReportAt = h.now
+	if h.balancer.assumedLoad <= assumedLoadStart {
+		t.Fatalf("assumed load %.2f after jobs that did not start", h.balancer.assumedLoad)
 	}
-	if left := w.slots - h.b.load(h.now, w); left < 1 {
-		t.Errorf("a worker of 10 slots that nothing is known of has %.2f left", left)
+	if left := w.slots - h.balancer.load(h.now, w); left < 1 {
+		t.Errorf("a worker of 10 slots without reports has %.2f free slots", left)
 	}
 }
 
-// Failure: a dispatcher with little traffic forgot between two answers that others load the workers.
-func TestMeanLoadOutlastsASilence(t *testing.T) {
-	h := start(t, base(), fleet(6)...)
-	h.b.otherShare, h.b.lastReportAt = 0.5, h.now
+// Failure: between two responses, a dispatcher with little traffic lost its estimate of the load by others.
+func TestMeanLoadDecaysSlowly(t *testing.T) {
+	h := newHarness(t, baseSettings(), newMembers(6)...)
+	h.balancer.otherShare, h.balancer.lastReportAt = 0.5, h.now
 	w := &worker{slots: 10}
-	if l := h.b.load(h.now+seconds(h.b.meanJobSeconds), w); l < 2.5 {
-		t.Errorf("load %.2f of 5 is left after one running time without a report", l)
+	if l := h.balancer.load(h.now+seconds(h.balancer.meanJobSeconds), w); l < 2.5 {
+		t.Errorf("load %.2f of 5 is left after one run time without a report", l)
 	}
-	if l := h.b.load(h.now+seconds(30*h.b.meanJobSeconds), w); l > 0.5 {
-		t.Errorf("load %.2f is still believed after a long silence", l)
+	if l := h.balancer.load(h.now+seconds(30*h.balancer.meanJobSeconds), w); l > 0.5 {
+		t.Errorf("load %.2f is left after a long time without a report", l)
 	}
 }
 
-// Failure (sites whose workers report only when probed): without probes nothing was known of others' load. Probes go
-// to candidates whose figures are old, within their price and the time they take, and never where they are forbidden.
-func TestProbesAskForOldFigures(t *testing.T) {
+// Failure: where workers report only when probed, the load by others was unknown without probes.
+//
+// Probes go to candidates whose figures are old. Their price and duration limit their number. None is sent where the
+// settings forbid them.
+func TestProbesRefreshOldFigures(t *testing.T) {
 	for _, c := range []struct {
 		allowed bool
 		price   float64
 		takes   time.Duration
-		most    int // for one job
+		most    int // probes for one request
 	}{{false, 0.002, ms / 10, 0}, {true, 0.002, ms / 10, 4}, {true, 0.004, ms / 10, 2}, {true, 0.002, 20 * ms, 1}} {
-		s := base()
+		s := baseSettings()
 		s.Probes, s.Prices.Probe = c.allowed, c.price
-		h := start(t, s, fleet(20)...)
-		asked, most := map[string]time.Duration{}, 0
+		h := newHarness(t, s, newMembers(20)...)
+		probedAt, most := map[string]time.Duration{}, 0
 		for i := range 50 {
 			h.now += 30 * ms
 			id, acts := h.request()
@@ -148,73 +151,73 @@
 				if a.Kind != Probe {
 					continue
 				}
-				if last, ok := asked[a.Worker]; ok && h.now-last < 100*ms {
-					t.Errorf("%+v: %s asked again after %v", c, a.Worker, h.now-last)
+				if last, ok := probedAt[a.Worker]; ok && h.now-last < 100*ms {
+					t.Errorf("%+v: %s probed again after %v", c, a.Worker, h.now-last)
 				}
-				asked[a.Worker] = h.now
+				probedAt[a.Worker] = h.now
 				n++
 				h.step(Event{Kind: Probed, Worker: a.Worker, Elapsed: c.takes, Report: Report{Present: true, Free: 4}})
 			}
-			if i > 0 { // what a probe takes is known then
+			if i > 0 { // the duration of a probe is known then
 				most = max(most, n)
 			}
-			if a := find(acts, Send); a != nil {
+			if a := findAction(acts, Send); a != nil {
 				h.end(id, a.Worker, OK, Report{})
 			}
 		}
 		if most != c.most {
-			t.Errorf("%+v: up to %d probes for a job", c, most)
+			t.Errorf("%+v: up to %d probes for a request", c, most)
 		}
 	}
 }
 
-// Failure (a tap of a day at size): many dispatchers saw the same report of a free slot and went there together. After
-// jobs that did not start promptly, a report of empty workers no longer lets cheap jobs go, but a dear one still does.
-func TestCautionHoldsForEmptyReports(t *testing.T) {
+// Failure: many dispatchers saw the same report of a free slot and sent there together. After jobs that did not start
+// promptly, a report of an idle worker no longer admits cheap requests, but still admits valuable ones.
+func TestAssumedLoadAppliesToIdleReports(t *testing.T) {
 	for _, missed := range []bool{false, true} {
-		s := base()
+		s := baseSettings()
 		s.TellsStart, s.Fleet = true, 1
-		s.Classes = append(s.Classes, Class{Name: "dear", Aim: 200 * ms, Stretch: 2, Deadline: 5 * time.Second, Worth: 20})
-		h := start(t, s, fleet(1)...)
-		w := h.b.ring[0]
-		w.slots, h.b.topValue, h.b.shortage = 4, 50, 0.5
-		h.b.applyReport(h.now, w, &Report{Present: true, Free: 4})
+		s.Classes = append(s.Classes, Class{Name: "valuable", Aim: 200 * ms, Stretch: 2, Deadline: 5 * time.Second, Worth: 20})
+		h := newHarness(t, s, newMembers(1)...)
+		w := h.balancer.ring[0]
+		w.slots, h.balancer.topValue, h.balancer.shortage = 4, 50, 0.5
+		h.balancer.applyReport(h.now, w, &Report{Present: true, Free: 4})
 		if missed {
-			h.b.assumedLoad = assumedLoadMax
+			h.balancer.assumedLoad = assumedLoadMax
 		}
-		room := func(class string) bool {
-			r := &request{class: h.b.classes[class], slots: 1, firstTryAt: h.now, respondBy: h.now + 5*time.Second}
-			h.b.estimate(r)
-			r.value = h.b.value(h.now, r)
-			return h.b.hasCapacity(h.now, r, w)
+		hasCapacity := func(class string) bool {
+			r := &request{class: h.balancer.classes[class], slots: 1, firstTryAt: h.now, respondBy: h.now + 5*time.Second}
+			h.balancer.estimate(r)
+			r.value = h.balancer.value(h.now, r)
+			return h.balancer.hasCapacity(h.now, r, w)
 		}
-		if !room("dear") || room("c") == missed {
-			t.Errorf("missed starts %v: room for a dear job %v, for a cheap one %v", missed, room("dear"), room("c"))
+		if !hasCapacity("valuable") || hasCapacity("c") == missed {
+			t.Errorf("missed starts %v: capacity for a valuable request %v, for a cheap one %v", missed, hasCapacity("valuable"), hasCapacity("c"))
 		}
 	}
 }
 
-// Failure (every day): reports are up to half a second old, so that dispatchers met at the same worker, and jobs of
-// several slots found no empty one. What others have out counts at once, by their own word, and once only.
-func TestWhatOthersToldCountsLikeOwnWork(t *testing.T) {
-	s := base()
+// Failure: reports are up to half a second old. Dispatchers sent to the same worker, and jobs of several slots found
+// no idle one. The load that others announce must count at once, and only once.
+func TestAnnouncedLoadCountsLikeOwnLoad(t *testing.T) {
+	s := baseSettings()
 	s.Peers, s.Fleet, s.Self = true, 3, 1
-	two := start(t, s, fleet(3)...)
-	at := two.b.ring[1].ID
-	w := two.b.workers[at]
-	before := two.b.load(two.now, w)
-	two.step(Event{Kind: PeerSpoke, Who: 0, Loads: map[string]float64{at: 1}})
-	if got := two.b.load(two.now, w) - before; got != 1 {
+	h := newHarness(t, s, newMembers(3)...)
+	at := h.balancer.ring[1].ID
+	w := h.balancer.workers[at]
+	before := h.balancer.load(h.now, w)
+	h.step(Event{Kind: PeerSpoke, Who: 0, Loads: map[string]float64{at: 1}})
+	if got := h.balancer.load(h.now, w) - before; got != 1 {
 		t.Errorf("the load grows by %g", got)
 	}
-	// A report that shows the same job tells nothing new.
-	two.now += 50 * ms
-	two.b.applyReport(two.now, w, &Report{Present: true, InFlight: 1, Free: 3})
+	// A report that includes the same job adds no load.
+	h.now += 50 * ms
+	h.balancer.applyReport(h.now, w, &Report{Present: true, InFlight: 1, Free: 3})
 	if w.otherSlots > 0.01 {
-		t.Errorf("%g slots are taken for somebody else's", w.otherSlots)
+		t.Errorf("%g slots count as load by others", w.otherSlots)
 	}
-	two.step(Event{Kind: PeerSpoke, Who: 0})
+	h.step(Event{Kind: PeerSpoke, Who: 0})
 	if w.peerSlots != 0 {
-		t.Errorf("%g slots are told of after the end", w.peerSlots)
+		t.Errorf("%g slots are announced after the end", w.peerSlots)
 	}
 }
--- a/balance/queue_test.go
+++ b/balance/queue_test.go
@@ -6,49 +6,50 @@
 	"time"
 )
 
-// What others tell is most of all events in a large fleet. Held jobs are looked at when there may be room, at once.
-func TestHeldJobGoesWhenOthersTellOfLess(t *testing.T) {
-	h := start(t, base(), fleet(1)...)
-	say := func(slots float64) *Action {
-		return find(h.step(Event{Kind: PeerSpoke, Who: 1, Loads: map[string]float64{"w00": slots}}), Send)
+// In a large fleet most events are announcements of other dispatchers. Queued requests are considered at once when an
+// announced load drops, and only then.
+func TestQueuedRequestIsSentWhenAnnouncedLoadDrops(t *testing.T) {
+	h := newHarness(t, baseSettings(), newMembers(1)...)
+	announce := func(slots float64) *Action {
+		return findAction(h.step(Event{Kind: PeerSpoke, Who: 1, Loads: map[string]float64{"w00": slots}}), Send)
 	}
-	say(9)
-	if _, acts := h.request(); find(acts, Send) != nil {
-		t.Fatal("sent to a worker that is told to be full")
+	announce(9)
+	if _, acts := h.request(); findAction(acts, Send) != nil {
+		t.Fatal("sent to a worker that is announced as full")
 	}
-	if say(9) != nil || say(10) != nil {
+	if announce(9) != nil || announce(10) != nil {
 		t.Error("sent though nothing became free")
 	}
-	if say(0) == nil {
-		t.Error("not sent when the others' work ended")
+	if announce(0) == nil {
+		t.Error("not sent when the work of others ended")
 	}
 }
 
-// Failure waiting to happen: a try with a part of the class's deadline looks like a late try.
-func TestTriesWithPartOfTheDeadlineAreFresh(t *testing.T) {
-	h := start(t, base(), fleet(2)...)
+// A first try with only a part of the class's deadline must not count as a late try.
+func TestTriesWithPartOfTheDeadlineAreFirstTries(t *testing.T) {
+	h := newHarness(t, baseSettings(), newMembers(2)...)
 	for id := range uint64(20) {
 		budget := 2 * time.Second // of a deadline of 5
 		if id == 19 {
 			budget = time.Second
 		}
 		acts := h.step(Event{Kind: Arrived, Request: 100 + id, Class: "c", Budget: budget, Slots: 1})
-		if sent := find(acts, Send); sent == nil && id < 19 {
+		if sent := findAction(acts, Send); sent == nil && id < 19 {
 			t.Fatalf("a first try was not sent: %+v", acts)
-		} else if id == 19 && h.now-h.b.requests[100+id].firstTryAt != 4*time.Second {
-			t.Errorf("a last try seems %v old, not 4s", h.now-h.b.requests[100+id].firstTryAt)
+		} else if id == 19 && h.now-h.balancer.requests[100+id].firstTryAt != 4*time.Second {
+			t.Errorf("a last try seems %v old, not 4s", h.now-h.balancer.requests[100+id].firstTryAt)
 		} else if id < 19 {
 			h.end(100+id, sent.Worker, OK, Report{})
 		}
 	}
 }
 
-// Failure (a day at a site with ordered keys, untouched module): a request was sent while an earlier one of its key
-// was not over. What must have happened before the second request of a key goes, as a table.
-func TestRequestsOfAKeyTakeTurns(t *testing.T) {
+// Failure (classes with ordered keys): a request was sent while an earlier one of its key was not done. The table
+// lists what must happen before the second request of a key is sent.
+func TestRequestsOfAKeyAreSentInOrder(t *testing.T) {
 	for name, c := range map[string]struct {
 		result Result
-		wait   time.Duration // after the end of the first one's attempt
+		wait   time.Duration // after the end of the first request's attempt
 	}{
 		"served":    {OK, 0},
 		"error":     {Failed, 0},
@@ -56,55 +57,55 @@
 		"reset":     {Reset, 50 * ms},
 		"cancelled": {Cancelled, 50 * ms},
 	} {
-		s := base()
+		s := baseSettings()
 		s.MaxAttempts, s.OrderRest, s.Cancel, s.TellsStart = 1, 50*ms, true, true
 		s.Classes[0].InOrder, s.Classes[0].Effect, s.Classes[0].Aim = true, Keyed, 10*time.Second
-		h := start(t, s, fleet(6)...)
-		ask := func(id uint64, key string) *Action {
-			return find(h.step(Event{Kind: Arrived, Request: id, Class: "c", Key: key, Budget: 5 * time.Second, Slots: 1}), Send)
+		h := newHarness(t, s, newMembers(6)...)
+		arrive := func(id uint64, key string) *Action {
+			return findAction(h.step(Event{Kind: Arrived, Request: id, Class: "c", Key: key, Budget: 5 * time.Second, Slots: 1}), Send)
 		}
-		first := ask(1, "k")
-		if first == nil || ask(2, "k") != nil || ask(3, "k") != nil {
-			t.Fatalf("%s: want the first of three sent at once, and no other", name)
+		first := arrive(1, "k")
+		if first == nil || arrive(2, "k") != nil || arrive(3, "k") != nil {
+			t.Fatalf("%s: want the first of three sent at once and no other", name)
 		}
-		if ask(4, "other") == nil || ask(5, "") == nil || ask(6, "") == nil {
-			t.Fatalf("%s: other keys, and requests without one, must not wait", name)
+		if arrive(4, "other") == nil || arrive(5, "") == nil || arrive(6, "") == nil {
+			t.Fatalf("%s: requests of other keys or without a key must not wait", name)
 		}
 		h.now += 100 * ms
-		h.step(Event{Kind: Departed, Request: 1}) // over, but its attempt is out
-		if a := find(h.step(Event{Kind: TimerDue, Timer: queueTimer}), Send); a != nil {
-			t.Fatalf("%s: request %d sent while an attempt of its key is out", name, a.Request)
+		h.step(Event{Kind: Departed, Request: 1}) // done, but its attempt is in flight
+		if a := findAction(h.step(Event{Kind: TimerDue, Timer: queueTimer}), Send); a != nil {
+			t.Fatalf("%s: request %d sent while an attempt of its key is in flight", name, a.Request)
 		}
 		ended := h.now
 		acts := h.step(Event{Kind: Ended, Request: 1, Worker: first.Worker, Result: c.result, Final: true})
-		for find(acts, Send) == nil && h.now < ended+time.Second {
+		for findAction(acts, Send) == nil && h.now < ended+time.Second {
 			h.now += ms
 			acts = h.step(Event{Kind: TimerDue, Timer: queueTimer})
 		}
-		if a := find(acts, Send); a == nil || a.Request != 2 || h.now-ended != c.wait {
-			t.Errorf("%s: want request 2 sent after a rest of %v: %+v after %v", name, c.wait, a, h.now-ended)
+		if a := findAction(acts, Send); a == nil || a.Request != 2 || h.now-ended != c.wait {
+			t.Errorf("%s: want request 2 sent after a pause of %v: %+v after %v", name, c.wait, a, h.now-ended)
 		}
-		for id := range uint64(7) { // all end; nothing of any key is kept
+		for id := range uint64(7) { // all end; no key queue may be left over
 			h.step(Event{Kind: Departed, Request: id})
 			h.step(Event{Kind: Ended, Request: id, Result: OK, Final: true})
 		}
 		h.now += time.Second
-		if ask(8, "new"); len(h.b.keyQueues) != 1 {
-			t.Errorf("%s: %d keys are remembered", name, len(h.b.keyQueues))
+		if arrive(8, "new"); len(h.balancer.keyQueues) != 1 {
+			t.Errorf("%s: %d key queues are stored", name, len(h.balancer.keyQueues))
 		}
 	}
 }
 
-// Failure (an overloaded day at a site where late answers earn a share): all jobs ranked alike, so the oldest were
-// served, all late. A fresh job goes before one that is late already, and queues stay short enough to be in time.
+// Failure (overload where late responses earn a share): all requests had the same value, so the oldest were served
+// and all of them were late. A fresh request must go before one that is already late.
 func TestFreshJobsGoBeforeLateOnes(t *testing.T) {
-	s := base()
+	s := baseSettings()
 	s.Classes[0].Late = 0.25
-	h := start(t, s, fleet(1)...)
-	h.b.ring[0].fullUntil = h.now + 3*time.Second // nothing goes for a while
+	h := newHarness(t, s, newMembers(1)...)
+	h.balancer.ring[0].fullUntil = h.now + 3*time.Second // nothing is sent for a while
 	old, _ := h.request()
 	h.now += 3 * time.Second
-	h.b.ring[0].fullUntil = h.now + ms
+	h.balancer.ring[0].fullUntil = h.now + ms
 	fresh, _ := h.request()
 	h.now += 2 * ms
 	var order []uint64
@@ -120,152 +121,154 @@
 	}
 }
 
-// Failure (days whose late answers earn a share): nothing was refused before a far deadline, so no slot was kept for
-// dear jobs. A job that starts too late counts as shortage.
+// Failure (late responses earn a share): nothing was refused before a distant deadline, so no slot was kept for
+// valuable requests. A job that starts too late must count as shortage.
 func TestLateStartsCountAsShortage(t *testing.T) {
-	s := base()
+	s := baseSettings()
 	s.TellsStart, s.Classes[0].Late = true, 0.3
-	h := start(t, s, fleet(9)...)
+	h := newHarness(t, s, newMembers(9)...)
 	for i := range 20 {
-		id, w := h.sent()
+		id, w := h.sendRequest()
 		h.now += time.Duration(i/10) * 2 * time.Second // ten at once, ten too late
 		h.step(Event{Kind: Noted, Request: id, Worker: w, Started: true})
-		if late := h.b.shortage > 0; late != (i >= 10) {
-			t.Fatalf("job %d: shortage %v", i, h.b.shortage)
+		if late := h.balancer.shortage > 0; late != (i >= 10) {
+			t.Fatalf("job %d: shortage %v", i, h.balancer.shortage)
 		}
 		h.end(id, w, OK, Report{})
 	}
 }
 
-// Failure (days at size with unsafe jobs and told starts): a job that cannot leave a queue was held for a slot that was
-// only taken for used on usual days, and sent to one taken for free and lost in a shortage.
-func TestUnsafeJobsAreCarefulInNeed(t *testing.T) {
+// Failure (unsafe requests, start reports): a job cannot leave a worker's queue. Without a shortage it waited for a
+// slot that was only assumed to be taken. In a shortage it was sent to a slot that was only assumed to be free, and
+// was lost.
+func TestUnsafeRequestsNeedMoreCapacityInShortage(t *testing.T) {
 	for _, c := range []struct {
 		effect      Effect
 		shed, taken float64
 		want        bool
 	}{{Unsafe, 0, 3.3, true}, {Safe, 0, 3.3, false}, {Unsafe, 0.8, 2.9, false}, {Safe, 0.8, 2.9, true}} {
-		s := base()
+		s := baseSettings()
 		s.TellsStart, s.Classes[0].Effect = true, c.effect
-		h := start(t, s, fleet(1)...)
-		w := h.b.ring[0]
-		w.slots, w.ownSlots, h.b.shortage = 4, c.taken, c.shed
-		r := &request{class: h.b.classes["c"], slots: 1, value: 1, firstTryAt: h.now, respondBy: h.now + 5*time.Second}
-		h.b.estimate(r)
-		if got := h.b.hasCapacity(h.now, r, w); got != c.want {
-			t.Errorf("%+v: room %v", c, got)
+		h := newHarness(t, s, newMembers(1)...)
+		w := h.balancer.ring[0]
+		w.slots, w.ownSlots, h.balancer.shortage = 4, c.taken, c.shed
+		r := &request{class: h.balancer.classes["c"], slots: 1, value: 1, firstTryAt: h.now, respondBy: h.now + 5*time.Second}
+		h.balancer.estimate(r)
+		if got := h.balancer.hasCapacity(h.now, r, w); got != c.want {
+			t.Errorf("%+v: capacity %v", c, got)
 		}
 	}
 }
 
-// Failure (every day with jobs of several slots): the dearest jobs for their work went first, a class whose jobs take
-// several slots came last each time a slot was free, and the result hangs on the worst-served class.
+// Failure (requests of several slots): requests of the highest value for their work went first. A class whose
+// requests take several slots came last whenever a slot was free, and the score depends on the worst-served class.
 func TestClassServedWorstGoesSooner(t *testing.T) {
-	s := base()
+	s := baseSettings()
 	s.Goal = Goal{Whole: 0.45, WorstClass: 0.3}
 	s.Classes = append(s.Classes, Class{Name: "wide", Aim: 200 * ms, Stretch: 2, Deadline: 5 * time.Second, Worth: 1})
-	h := start(t, s, fleet(1)...)
-	small := &request{class: h.b.classes["c"], slots: 1, work: 0.1, firstTryAt: h.now}
-	wide := &request{class: h.b.classes["wide"], slots: 2, work: 0.1, firstTryAt: h.now}
-	if h.b.value(h.now, wide) >= h.b.value(h.now, small) {
-		t.Error("the wide job is worth more though both classes are served alike")
+	h := newHarness(t, s, newMembers(1)...)
+	small := &request{class: h.balancer.classes["c"], slots: 1, work: 0.1, firstTryAt: h.now}
+	wide := &request{class: h.balancer.classes["wide"], slots: 2, work: 0.1, firstTryAt: h.now}
+	if h.balancer.value(h.now, wide) >= h.balancer.value(h.now, small) {
+		t.Error("the wide request has a higher value though both classes are served equally")
 	}
-	h.b.requests[9] = wide
+	h.balancer.requests[9] = wide
 	for range 15 {
-		h.b.reject(h.now, wide, NoRoom)
+		h.balancer.reject(h.now, wide, NoRoom)
 	}
-	if h.b.value(h.now, wide) <= h.b.value(h.now, small) {
-		t.Errorf("wide %g, small %g, though the wide are served worse", h.b.value(h.now, wide), h.b.value(h.now, small))
+	if h.balancer.value(h.now, wide) <= h.balancer.value(h.now, small) {
+		t.Errorf("values: wide %g, small %g, though wide requests are served worse", h.balancer.value(h.now, wide), h.balancer.value(h.now, small))
 	}
 }
 
-// Failure (every day): small jobs take each slot as it frees, and a job of several slots never starts. Where room is
-// held for it, others go there only if they end in time or fit beside it; it may go there from any home.
-func TestHeldRoomIsLeftAlone(t *testing.T) {
-	class := base().Classes[0].Name
+// Failure: small requests took each slot as it became free, and a request of several slots never started. Where
+// capacity is reserved for it, other requests go there only if they end before the reservation starts or fit beside
+// it. The request itself may go there from any home.
+func TestReservedCapacityIsRespected(t *testing.T) {
+	class := baseSettings().Classes[0].Name
 	for _, c := range []struct {
-		name string
-		keep Keep
-		want bool
+		name        string
+		reservation Keep
+		want        bool
 	}{
-		{"held for another", Keep{Request: 99}, false},
-		{"held by another dispatcher", Keep{}, false},
-		{"held for itself", Keep{Request: 1}, true},
-		{"fits beside", Keep{Request: 99, Spare: 1}, true},
-		{"ends in time", Keep{Request: 99, Most: 1, Last: map[string]time.Duration{class: time.Hour}}, true},
-		{"would end too late", Keep{Request: 99, Most: 1, Last: map[string]time.Duration{class: 1}}, false},
-		{"ends in time, but is too large", Keep{Request: 99, Most: 0.5, Last: map[string]time.Duration{class: time.Hour}}, false},
+		{"reserved for another request", Keep{Request: 99}, false},
+		{"reserved by another dispatcher", Keep{}, false},
+		{"reserved for this request", Keep{Request: 1}, true},
+		{"fits beside the reservation", Keep{Request: 99, Spare: 1}, true},
+		{"ends before the reservation", Keep{Request: 99, Most: 1, Last: map[string]time.Duration{class: time.Hour}}, true},
+		{"ends after the reservation starts", Keep{Request: 99, Most: 1, Last: map[string]time.Duration{class: 1}}, false},
+		{"ends before the reservation, but is too large", Keep{Request: 99, Most: 0.5, Last: map[string]time.Duration{class: time.Hour}}, false},
 	} {
-		h := start(t, base(), fleet(1)...)
-		w := h.b.ring[0]
-		h.step(Event{Kind: Kept, Worker: w.ID, Request: c.keep.Request, Keep: &c.keep})
+		h := newHarness(t, baseSettings(), newMembers(1)...)
+		w := h.balancer.ring[0]
+		h.step(Event{Kind: Kept, Worker: w.ID, Request: c.reservation.Request, Keep: &c.reservation})
 		acts := h.step(Event{Kind: Arrived, Request: 1, Class: class, Budget: time.Second, Slots: 1})
-		if got := find(acts, Send) != nil; got != c.want {
+		if got := findAction(acts, Send) != nil; got != c.want {
 			t.Errorf("%s: sent %v", c.name, got)
 		}
-		if !c.want { // let go, it is anybody's
-			if acts := h.step(Event{Kind: Kept, Worker: w.ID}); find(acts, Send) == nil {
-				t.Errorf("%s: not sent after the room was let go", c.name)
+		if !c.want { // once released, any request may use it
+			if acts := h.step(Event{Kind: Kept, Worker: w.ID}); findAction(acts, Send) == nil {
+				t.Errorf("%s: not sent after the reservation was released", c.name)
 			}
 		}
 	}
-	// The one for whom it is held finds it from any home, and a drain ends the hold.
-	h := start(t, base(), fleet(40)...)
-	far := h.b.ring[20]
-	for _, w := range h.b.ring {
+	// The request finds its reservation from any home. A drain ends the reservation.
+	h := newHarness(t, baseSettings(), newMembers(40)...)
+	far := h.balancer.ring[20]
+	for _, w := range h.balancer.ring {
 		w.fullUntil = h.now + time.Hour
 	}
 	h.step(Event{Kind: Arrived, Request: 7, Class: class, Budget: time.Second, Slots: 1})
 	far.fullUntil = 0
-	if a := find(h.step(Event{Kind: Kept, Worker: far.ID, Request: 7, Keep: &Keep{Request: 7}}), Send); a == nil || a.Worker != far.ID {
-		t.Error("the room held for a request was not used by it")
+	if a := findAction(h.step(Event{Kind: Kept, Worker: far.ID, Request: 7, Keep: &Keep{Request: 7}}), Send); a == nil || a.Worker != far.ID {
+		t.Error("a request did not use its reservation")
 	}
 	m := far.Member
 	m.State = Draining
 	if h.step(Event{Kind: Listed, List: Changes, Members: []Member{m}}); far.reservation != nil {
-		t.Error("room is held at a worker that drains")
+		t.Error("a draining worker has a reservation")
 	}
 }
 
-// In need, a tenant that asks for more than its share goes behind those that keep to theirs, for as long as
-// whoever adds that up says so.
+// In a shortage, requests of a tenant beyond its share go after those of tenants within their shares, for as long as
+// the decision about shares is valid.
 func TestTenantsBeyondTheirSharesGoLater(t *testing.T) {
-	s := base()
+	s := baseSettings()
 	s.Fleet, s.BeyondWorth = 1, 0.1
 	s.Classes[0].Worth = 1
-	h := start(t, s, fleet(1)...)
-	id, at := h.sent() // the only slot
+	h := newHarness(t, s, newMembers(1)...)
+	id, at := h.sendRequest() // the only slot
 	h.step(Event{Kind: Ended, Request: id, Worker: at, Result: OK, Final: true, Elapsed: 50 * ms, Report: Report{Present: true, InFlight: 1, Free: 0}})
 	first := func() string {
-		h.b.queued = nil
-		ask := func(id uint64, tenant string) {
+		h.balancer.queued = nil
+		arrive := func(id uint64, tenant string) {
 			h.step(Event{Kind: Arrived, Request: id, Class: "c", Budget: 5 * time.Second, Slots: 1, Tenant: tenant})
 		}
-		w := h.b.workers[at]
+		w := h.balancer.workers[at]
 		w.fullUntil = h.now + time.Hour
-		h.next += 2
-		ask(h.next, "much")
-		ask(h.next+1, "little")
-		h.next++
-		h.b.placeQueued(h.now)
-		if len(h.b.queued) != 2 {
-			t.Fatalf("%d held", len(h.b.queued))
+		h.nextID += 2
+		arrive(h.nextID, "much")
+		arrive(h.nextID+1, "little")
+		h.nextID++
+		h.balancer.placeQueued(h.now)
+		if len(h.balancer.queued) != 2 {
+			t.Fatalf("%d queued", len(h.balancer.queued))
 		}
-		return h.b.queued[0].tenant
+		return h.balancer.queued[0].tenant
 	}
 	if got := first(); got != "much" {
-		t.Fatalf("%s goes first while nothing is known: not the one that came first", got)
+		t.Fatalf("%s goes first without a decision about shares, want the first to arrive", got)
 	}
 	h.step(Event{Kind: Shared, Parts: map[string]float64{"much": 0.6}, Elapsed: 2 * time.Second})
 	if got := first(); got != "little" {
 		t.Fatalf("%s goes first", got)
 	}
-	r := h.b.queued[0]
-	if had := h.b.value(h.now, h.b.queued[1]) / h.b.value(h.now, r); math.Abs(had-0.64) > 0.01 {
-		t.Fatalf("a request of one with 0.6 within its share is worth %.2f", had)
+	r := h.balancer.queued[0]
+	if had := h.balancer.value(h.now, h.balancer.queued[1]) / h.balancer.value(h.now, r); math.Abs(had-0.64) > 0.01 {
+		t.Fatalf("relative value %.2f of a request whose tenant has 0.6 of its demand within its share", had)
 	}
 	h.now += 3 * time.Second
 	if got := first(); got != "much" {
-		t.Fatalf("%s goes first once that has lapsed", got)
+		t.Fatalf("%s goes first after the decision expired", got)
 	}
 }
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -10,247 +10,257 @@
 	"time"
 )
 
-// The test in this file feeds arbitrary legal sequences of events and judges the actions by the seven
-// rules alone. The judge shares no code and no state with the module.
+// The tests in this file feed random legal sequences of events and check the actions against the seven rules
+// only. The checker shares no code and no state with the package.
 
 const ms = time.Millisecond
 
-type judgedAttempt struct {
-	worker string
-	sent   time.Duration
-	begun  time.Duration // sent, or when it was told to start
-	ended  time.Duration
-	out    bool
-	result Result
+// observedAttempt is an attempt as the checker sees it.
+type observedAttempt struct {
+	worker    string
+	sentAt    time.Duration
+	startedAt time.Duration // sentAt until the start is reported
+	endedAt   time.Duration
+	inFlight  bool
+	result    Result
 }
 
-type judgedRequest struct {
+// observedRequest is a request as the checker sees it.
+type observedRequest struct {
 	class    Class
 	slots    float64
 	deadline time.Duration
-	attempts []judgedAttempt
-	over     bool
+	attempts []observedAttempt
+	done     bool
 	key      string
 }
 
-type judgedSend struct {
-	at   time.Duration
-	work float64
+// observedSend is the start of an attempt at a cold worker.
+type observedSend struct {
+	at          time.Duration
+	workSeconds float64
 }
 
-type judgedWorker struct {
+// observedWorker is a worker as the lists show it.
+type observedWorker struct {
 	Member
-	bad   bool // told that it drains or is gone
-	badAt time.Duration
-	known bool
-	sends []judgedSend // since its last start, while cold
+	notReady      bool // a list showed it as draining or gone
+	notReadySince time.Duration
+	listed        bool
+	sends         []observedSend // since its last start, while cold
 }
 
-// judge follows events and actions and collects broken rules.
-type judge struct {
-	s       Settings
-	run     map[string]float64 // seconds a job of a class runs
-	slots   float64            // of each worker
-	reqs    map[uint64]*judgedRequest
-	ids     []uint64 // not over, in order of arrival
-	workers map[string]*judgedWorker
-	turns   map[string][]*judgedRequest // by key, as taken
-	taken   []time.Duration             // requests of this life
-	further []time.Duration             // attempts beyond the first
-	timers  []dueTimer
-	broken  []string
+// ruleChecker follows events and actions and collects violations of the rules.
+type ruleChecker struct {
+	settings        Settings
+	runSeconds      map[string]float64 // by class: run time of a job
+	slots           float64            // of each worker
+	requests        map[uint64]*observedRequest
+	openIDs         []uint64 // requests that are not done, in order of arrival
+	workers         map[string]*observedWorker
+	keyOrder        map[string][]*observedRequest // by key, in order of arrival
+	arrivals        []time.Duration               // since the last restart
+	furtherAttempts []time.Duration               // attempts beyond the first
+	timers          []dueTimer
+	violations      []string
 }
 
 type dueTimer struct {
-	at  time.Duration
-	key uint64
+	at    time.Duration
+	timer uint64
 }
 
-func (j *judge) fail(now time.Duration, format string, args ...any) {
-	j.broken = append(j.broken, fmt.Sprintf("%v: ", now)+fmt.Sprintf(format, args...))
+// report records a violation.
+func (c *ruleChecker) report(now time.Duration, format string, args ...any) {
+	c.violations = append(c.violations, fmt.Sprintf("%v: ", now)+fmt.Sprintf(format, args...))
 }
 
-func (j *judge) act(now time.Duration, acts []Action) {
+// checkActions checks the actions of one step and records what they do.
+func (c *ruleChecker) checkActions(now time.Duration, acts []Action) {
 	for i := range acts {
 		a := &acts[i]
-		r := j.reqs[a.Request]
+		r := c.requests[a.Request]
 		switch a.Kind {
 		case Send, Refuse, Fail, Cancel:
 			if r == nil {
-				j.fail(now, "action %d for a request never given", a.Kind)
+				c.report(now, "action %d for an unknown request", a.Kind)
 				continue
 			}
 		}
-		if told := a.Reason != ""; told != (a.Kind == Refuse || a.Kind == Fail || a.Kind == Cancel) {
-			j.fail(now, "action %d with the reason %q", a.Kind, a.Reason)
+		if hasReason := a.Reason != ""; hasReason != (a.Kind == Refuse || a.Kind == Fail || a.Kind == Cancel) {
+			c.report(now, "action %d with the reason %q", a.Kind, a.Reason)
 		}
 		switch a.Kind {
 		case Send:
-			j.send(now, r, a)
+			c.checkSend(now, r, a)
 		case Refuse:
-			if r.class.Effect == Unsafe && j.ran(r) >= 0 {
-				j.fail(now, "rule 2: an unsafe request refused that may have run")
+			if r.class.Effect == Unsafe && c.firstMayHaveRun(r) >= 0 {
+				c.report(now, "rule 2: refused an unsafe request that may have run")
 			}
-			if r.class.Effect == Keyed && r.class.Scope != ScopeAll && j.ran(r) >= 0 {
-				j.fail(now, "rule 2: a keyed request of a narrow group refused that may have run")
+			if r.class.Effect == Keyed && r.class.Scope != ScopeAll && c.firstMayHaveRun(r) >= 0 {
+				c.report(now, "rule 2: refused a keyed request of a limited scope that may have run")
 			}
-			j.final(now, r)
+			c.checkFinal(now, r)
 		case Fail:
-			j.final(now, r)
+			c.checkFinal(now, r)
 		case Cancel:
-			if !j.s.Cancel || a.Attempt < 0 || a.Attempt >= len(r.attempts) {
-				j.fail(now, "a cancel that is not allowed")
+			if !c.settings.Cancel || a.Attempt < 0 || a.Attempt >= len(r.attempts) {
+				c.report(now, "a cancel that is not allowed")
 			}
 		case Probe:
-			if !j.s.Probes || j.workers[a.Worker] == nil {
-				j.fail(now, "a probe that is not allowed")
+			if !c.settings.Probes || c.workers[a.Worker] == nil {
+				c.report(now, "a probe that is not allowed")
 			}
 		case Wake:
 			if a.After < 0 || a.After > 71*time.Minute {
-				j.fail(now, "a timer after %v", a.After)
+				c.report(now, "a timer after %v", a.After)
 			}
-			j.timers = append(j.timers, dueTimer{now + a.After.Truncate(time.Microsecond), a.Timer})
+			c.timers = append(c.timers, dueTimer{now + a.After.Truncate(time.Microsecond), a.Timer})
 		case Subscribe:
-			if !j.s.Subscribe {
-				j.fail(now, "asked for a list that comes unasked")
+			if !c.settings.Subscribe {
+				c.report(now, "query for a list that arrives without queries")
 			}
 		}
 	}
 }
 
-func (j *judge) final(now time.Duration, r *judgedRequest) {
-	if r.over {
-		j.fail(now, "rule 1: a second final answer")
+// checkFinal checks that a final response is the only one of its request.
+func (c *ruleChecker) checkFinal(now time.Duration, r *observedRequest) {
+	if r.done {
+		c.report(now, "rule 1: a second final response")
 	}
-	r.over = true
+	r.done = true
 }
 
-// ran is the first attempt that may have run, or -1.
-func (j *judge) ran(r *judgedRequest) int {
-	return slices.IndexFunc(r.attempts, func(a judgedAttempt) bool {
-		return a.out || (a.result != Full || j.s.FullMayHaveRun) && a.result != NoConnection && a.result != NeverSent
+// firstMayHaveRun returns the index of the first attempt that may have run, or -1.
+func (c *ruleChecker) firstMayHaveRun(r *observedRequest) int {
+	return slices.IndexFunc(r.attempts, func(a observedAttempt) bool {
+		return a.inFlight || (a.result != Full || c.settings.FullMayHaveRun) && a.result != NoConnection && a.result != NeverSent
 	})
 }
 
-func (j *judge) send(now time.Duration, r *judgedRequest, a *Action) {
-	w := j.workers[a.Worker]
+// checkSend checks a new attempt against the rules and records it.
+func (c *ruleChecker) checkSend(now time.Duration, r *observedRequest, a *Action) {
+	w := c.workers[a.Worker]
 	switch {
-	case w == nil || !w.known:
-		j.fail(now, "sent to a worker that no list named")
+	case w == nil || !w.listed:
+		c.report(now, "sent to a worker that is in no list")
 		return
-	case r.over:
-		j.fail(now, "rule 1: sent after the end")
+	case r.done:
+		c.report(now, "rule 1: sent after the final response")
 	case now > r.deadline:
-		j.fail(now, "rule 1: sent after the deadline")
-	case len(r.attempts) >= j.s.MaxAttempts:
-		j.fail(now, "too many attempts")
-	case w.bad && now > w.badAt+j.s.DrainGrace:
-		j.fail(now, "rule 3: sent to a worker known to drain for %v", now-w.badAt)
+		c.report(now, "rule 1: sent after the deadline")
+	case len(r.attempts) >= c.settings.MaxAttempts:
+		c.report(now, "too many attempts")
+	case w.notReady && now > w.notReadySince+c.settings.DrainGrace:
+		c.report(now, "rule 3: sent to a worker known to drain for %v", now-w.notReadySince)
 	}
-	if slices.ContainsFunc(r.attempts, func(x judgedAttempt) bool { return x.out }) && !j.s.Duplicates {
-		j.fail(now, "rule 2: two attempts at once")
+	if slices.ContainsFunc(r.attempts, func(x observedAttempt) bool { return x.inFlight }) && !c.settings.Duplicates {
+		c.report(now, "rule 2: two attempts at once")
 	}
-	if i := j.ran(r); i >= 0 && r.class.Effect != Safe {
+	if i := c.firstMayHaveRun(r); i >= 0 && r.class.Effect != Safe {
 		first := r.attempts[i]
-		g := j.workers[first.worker]
+		firstWorker := c.workers[first.worker]
 		switch {
 		case r.class.Effect == Unsafe:
-			j.fail(now, "rule 2: an unsafe request sent again")
-		case now-first.sent > r.class.Window:
-			j.fail(now, "rule 2: a keyed request sent again after its window")
-		case r.class.Scope == ScopeZone && g.Zone != w.Zone, r.class.Scope == ScopeCell && g.Cell != w.Cell:
-			j.fail(now, "rule 2: a keyed request sent outside its group")
+			c.report(now, "rule 2: an unsafe request sent again")
+		case now-first.sentAt > r.class.Window:
+			c.report(now, "rule 2: a keyed request sent again after its window")
+		case r.class.Scope == ScopeZone && firstWorker.Zone != w.Zone, r.class.Scope == ScopeCell && firstWorker.Cell != w.Cell:
+			c.report(now, "rule 2: a keyed request sent outside its group")
 		}
 	}
-	j.inTurn(now, r)
+	c.checkKeyOrder(now, r)
 	if len(r.attempts) > 0 {
-		j.rationed(now)
+		c.checkAttemptBudget(now)
 	}
-	r.attempts = append(r.attempts, judgedAttempt{worker: w.ID, sent: now, begun: now, out: true})
-	if w.Started > 0 && now < w.Started+j.s.ColdFor {
-		w.sends = append(w.sends, judgedSend{now, j.run[r.class.Name] * r.slots})
-		j.cold(now, w)
+	r.attempts = append(r.attempts, observedAttempt{worker: w.ID, sentAt: now, startedAt: now, inFlight: true})
+	if w.Started > 0 && now < w.Started+c.settings.ColdFor {
+		w.sends = append(w.sends, observedSend{now, c.runSeconds[r.class.Name] * r.slots})
+		c.checkColdBudget(now, w)
 	}
 }
 
-// inTurn checks that nothing of the key taken earlier is unfinished, out, or perhaps still running.
-func (j *judge) inTurn(now time.Duration, r *judgedRequest) {
-	for _, x := range j.turns[r.key] {
-		if x == r || r.key == "" || !r.class.InOrder {
+// checkKeyOrder checks that every earlier request of the key is done, with no attempt in flight or possibly running.
+func (c *ruleChecker) checkKeyOrder(now time.Duration, r *observedRequest) {
+	for _, earlier := range c.keyOrder[r.key] {
+		if earlier == r || r.key == "" || !r.class.InOrder {
 			return
 		}
-		if !x.over {
-			j.fail(now, "rule 5: sent while an earlier request of its key is not over")
+		if !earlier.done {
+			c.report(now, "rule 5: sent while an earlier request of its key is not done")
 		}
-		for _, a := range x.attempts {
+		for _, a := range earlier.attempts {
 			doubtful := a.result == TimedOut || a.result == Reset || a.result == Cancelled
-			if a.out || doubtful && now < a.ended+j.s.OrderRest {
-				j.fail(now, "rule 5: sent while an attempt of its key is out or may still run")
+			if a.inFlight || doubtful && now < a.endedAt+c.settings.OrderRest {
+				c.report(now, "rule 5: sent while an attempt of its key is in flight or may still run")
 			}
 		}
 	}
 }
 
-// rationed counts a further attempt made now against the budget.
-func (j *judge) rationed(now time.Duration) {
-	j.further = append(j.further, now)
-	count := func(ts []time.Duration) (n float64) {
+// checkAttemptBudget checks a further attempt at the time now against the budget.
+func (c *ruleChecker) checkAttemptBudget(now time.Duration) {
+	c.furtherAttempts = append(c.furtherAttempts, now)
+	count := func(ts []time.Duration) (further float64) {
 		for _, at := range ts {
-			if at >= now-j.s.ExtraWindow {
-				n++
+			if at >= now-c.settings.ExtraWindow {
+				further++
 			}
 		}
-		return n
+		return further
 	}
-	n, of := count(j.further), count(j.taken)
-	if j.s.ExtraWindow > 0 && n > j.s.ExtraFree+j.s.ExtraRatio*of {
-		j.fail(now, "rule 6: %v further attempts within %v, for %v requests", n, j.s.ExtraWindow, of)
+	further, accepted := count(c.furtherAttempts), count(c.arrivals)
+	if c.settings.ExtraWindow > 0 && further > c.settings.ExtraFree+c.settings.ExtraRatio*accepted {
+		c.report(now, "rule 6: %v further attempts within %v, for %v requests", further, c.settings.ExtraWindow, accepted)
 	}
 }
 
-// cold checks that this dispatcher alone stays within a cold worker's budget, over the window that ends now. That
-// all together do is what TestCrowdSparesColdWorkers checks.
-func (j *judge) cold(now time.Duration, w *judgedWorker) {
+// checkColdBudget checks that this dispatcher on its own stays within a cold worker's budget over the window that
+// ends now. TestFleetStaysWithinColdBudgets checks the same for a whole fleet.
+func (c *ruleChecker) checkColdBudget(now time.Duration, w *observedWorker) {
 	sum := 0.0
 	for _, s := range w.sends {
-		if s.at > now-j.s.FallWindow {
-			sum += s.work
+		if s.at > now-c.settings.FallWindow {
+			sum += s.workSeconds
 		}
 	}
-	warm := j.s.ColdFrom + (1-j.s.ColdFrom)*(now-w.Started).Seconds()/j.s.ColdFor.Seconds()
-	if budget := j.s.FallMultiple * j.slots * warm * j.s.FallWindow.Seconds(); sum > budget+1e-9 {
-		j.fail(now, "rule 4: %.3f s of work sent to a cold worker with a budget of %.3f s", sum, budget)
+	warm := c.settings.ColdFrom + (1-c.settings.ColdFrom)*(now-w.Started).Seconds()/c.settings.ColdFor.Seconds()
+	if budget := c.settings.FallMultiple * c.slots * warm * c.settings.FallWindow.Seconds(); sum > budget+1e-9 {
+		c.report(now, "rule 4: %.3f s of work sent to a cold worker with a budget of %.3f s", sum, budget)
 	}
 }
 
-// overdue finds requests that were not answered in time.
-func (j *judge) overdue(now time.Duration) {
-	j.ids = slices.DeleteFunc(j.ids, func(id uint64) bool { return j.reqs[id].over })
-	for _, id := range j.ids {
-		if r := j.reqs[id]; now > r.deadline+j.s.AnswerSlack {
-			j.fail(now, "rule 1: no final answer by %v", r.deadline)
-			r.over = true
+// checkDeadlines reports requests without a final response at their deadline.
+func (c *ruleChecker) checkDeadlines(now time.Duration) {
+	c.openIDs = slices.DeleteFunc(c.openIDs, func(id uint64) bool { return c.requests[id].done })
+	for _, id := range c.openIDs {
+		if r := c.requests[id]; now > r.deadline+c.settings.AnswerSlack {
+			c.report(now, "rule 1: no final response by %v", r.deadline)
+			r.done = true
 		}
 	}
 }
 
-// drill plays one random sequence.
-type drill struct {
-	rng  *rand.Rand
-	j    *judge
-	b    *Balancer
-	now  time.Duration
-	next uint64
-	out  []outRef
-	seed uint64
+// simulation delivers one random sequence of events.
+type simulation struct {
+	rng      *rand.Rand
+	checker  *ruleChecker
+	balancer *Balancer
+	now      time.Duration
+	nextID   uint64
+	inFlight []attemptRef
+	seed     uint64
 }
 
-type outRef struct {
+// attemptRef names an attempt in flight.
+type attemptRef struct {
 	id      uint64
 	attempt int
 	slots   float64
 }
 
+// randomSettings returns valid random settings.
 func randomSettings(rng *rand.Rand) Settings {
 	s := Settings{Self: 0, Fleet: 1 + rng.IntN(5), Zone: "z0", Tick: time.Duration(1+rng.IntN(5)) * ms,
 		ReportsFree: rng.IntN(3) > 0, TellsStart: rng.IntN(2) == 0, Subscribe: rng.IntN(2) == 0,
@@ -285,45 +295,47 @@
 	return s
 }
 
-func newDrill(t *testing.T, seed uint64) *drill {
+// newSimulation returns a simulation with random settings and workers.
+func newSimulation(t *testing.T, seed uint64) *simulation {
 	rng := rand.New(rand.NewPCG(seed, 7))
-	s := randomSettings(rng)
-	d := &drill{rng: rng, seed: seed, now: time.Duration(rng.IntN(1000)) * time.Hour, next: 1}
-	d.j = &judge{s: s, run: map[string]float64{}, slots: float64(2 + rng.IntN(4)), reqs: map[uint64]*judgedRequest{},
-		workers: map[string]*judgedWorker{}}
-	for _, c := range s.Classes {
-		d.j.run[c.Name] = c.Aim.Seconds() * (0.5 + rng.Float64())
+	settings := randomSettings(rng)
+	sim := &simulation{rng: rng, seed: seed, now: time.Duration(rng.IntN(1000)) * time.Hour, nextID: 1}
+	sim.checker = &ruleChecker{settings: settings, runSeconds: map[string]float64{}, slots: float64(2 + rng.IntN(4)), requests: map[uint64]*observedRequest{},
+		workers: map[string]*observedWorker{}}
+	for _, c := range settings.Classes {
+		sim.checker.runSeconds[c.Name] = c.Aim.Seconds() * (0.5 + rng.Float64())
 	}
 	for i := range 3 + rng.IntN(8) {
 		m := Member{ID: fmt.Sprintf("w%02d", i), Zone: fmt.Sprintf("z%d", i%3), Cell: fmt.Sprint(i % 4), Weight: 1}
-		d.j.workers[m.ID] = &judgedWorker{Member: m}
+		sim.checker.workers[m.ID] = &observedWorker{Member: m}
 	}
-	d.restart(t)
-	return d
+	sim.restart(t)
+	return sim
 }
 
-// restart begins a new life of the dispatcher; what the old one held is void.
-func (d *drill) restart(t *testing.T) {
-	b, err := New(d.j.s, d.rng.Uint64())
+// restart replaces the dispatcher by a new one without state. Requests of the old one are void.
+func (s *simulation) restart(t *testing.T) {
+	b, err := New(s.checker.settings, s.rng.Uint64())
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.b, d.out, d.j.timers, d.j.ids = b, nil, nil, nil
-	d.j.reqs, d.j.turns = map[uint64]*judgedRequest{}, map[string][]*judgedRequest{}
-	d.j.taken, d.j.further = nil, nil
-	d.list(FromDisk)
+	s.balancer, s.inFlight, s.checker.timers, s.checker.openIDs = b, nil, nil, nil
+	s.checker.requests, s.checker.keyOrder = map[uint64]*observedRequest{}, map[string][]*observedRequest{}
+	s.checker.arrivals, s.checker.furtherAttempts = nil, nil
+	s.sendList(FromDisk)
 }
 
-func (d *drill) step(ev Event) {
-	d.j.act(d.now, d.b.Step(d.now, &ev, nil))
-	for id, r := range d.j.reqs { // note new attempts, to end them later; sorted below
+// step delivers an event, checks the actions and records new attempts.
+func (s *simulation) step(ev Event) {
+	s.checker.checkActions(s.now, s.balancer.Step(s.now, &ev, nil))
+	for id, r := range s.checker.requests { // record new attempts, to end them later; sorted below
 		for i := range r.attempts {
-			if r.attempts[i].out && !slices.ContainsFunc(d.out, func(o outRef) bool { return o.id == id && o.attempt == i }) {
-				d.out = append(d.out, outRef{id: id, attempt: i, slots: r.slots})
+			if r.attempts[i].inFlight && !slices.ContainsFunc(s.inFlight, func(o attemptRef) bool { return o.id == id && o.attempt == i }) {
+				s.inFlight = append(s.inFlight, attemptRef{id: id, attempt: i, slots: r.slots})
 			}
 		}
 	}
-	slices.SortFunc(d.out, func(x, y outRef) int {
+	slices.SortFunc(s.inFlight, func(x, y attemptRef) int {
 		if x.id != y.id {
 			return int(x.id) - int(y.id)
 		}
@@ -331,13 +343,13 @@
 	})
 }
 
-// sortedWorkers gives the workers in a fixed order.
-func (d *drill) sortedWorkers() []*judgedWorker {
-	var ws []*judgedWorker
-	for _, w := range d.j.workers {
+// sortedWorkers returns the workers, sorted by ID.
+func (s *simulation) sortedWorkers() []*observedWorker {
+	var ws []*observedWorker
+	for _, w := range s.checker.workers {
 		ws = append(ws, w)
 	}
-	slices.SortFunc(ws, func(x, y *judgedWorker) int {
+	slices.SortFunc(ws, func(x, y *observedWorker) int {
 		if x.ID < y.ID {
 			return -1
 		}
@@ -346,14 +358,15 @@
 	return ws
 }
 
-func (d *drill) list(scope ListScope) {
+// sendList changes some workers at random and delivers a list with the given scope.
+func (s *simulation) sendList(scope ListScope) {
 	ev := Event{Kind: Listed, List: scope}
 	if scope == AskFailed {
-		d.step(ev)
+		s.step(ev)
 		return
 	}
-	for _, w := range d.sortedWorkers() {
-		change := d.rng.IntN(8)
+	for _, w := range s.sortedWorkers() {
+		change := s.rng.IntN(8)
 		if scope == Changes && change > 2 {
 			continue
 		}
@@ -362,171 +375,173 @@
 			w.State = Draining
 		case 1:
 			w.State = Ready
-			w.Started = max(1, d.now-time.Duration(d.rng.IntN(1500))*ms) // restarted
+			w.Started = max(1, s.now-time.Duration(s.rng.IntN(1500))*ms) // restarted
 			w.sends = nil
 		case 2:
 			w.State = Gone
 		default:
-			if d.rng.IntN(3) > 0 {
+			if s.rng.IntN(3) > 0 {
 				w.State = Ready
 			}
 		}
-		told := w.State != Ready
-		if told && !w.bad {
-			w.badAt = d.now
+		notReady := w.State != Ready
+		if notReady && !w.notReady {
+			w.notReadySince = s.now
 		}
-		w.bad, w.known = told, w.known || !told || scope == Changes
-		if scope == Changes || w.State != Gone { // a whole list leaves out what is gone
+		w.notReady, w.listed = notReady, w.listed || !notReady || scope == Changes
+		if scope == Changes || w.State != Gone { // a complete list omits removed workers
 			ev.Members = append(ev.Members, w.Member)
-			w.known = true
+			w.listed = true
 		}
 	}
-	d.step(ev)
+	s.step(ev)
 }
 
-func (d *drill) request() {
-	c := d.j.s.Classes[d.rng.IntN(len(d.j.s.Classes))]
+// newRequest delivers a random request.
+func (s *simulation) newRequest() {
+	c := s.checker.settings.Classes[s.rng.IntN(len(s.checker.settings.Classes))]
 	budget := c.Deadline
-	if d.rng.IntN(3) == 0 {
-		budget = time.Duration(d.rng.Int64N(int64(c.Deadline))).Truncate(time.Microsecond)
+	if s.rng.IntN(3) == 0 {
+		budget = time.Duration(s.rng.Int64N(int64(c.Deadline))).Truncate(time.Microsecond)
 	}
-	id := d.next
-	d.next++
-	r := &judgedRequest{class: c, slots: float64(1 + d.rng.IntN(2)), deadline: d.now + budget}
-	d.j.reqs[id], d.j.ids = r, append(d.j.ids, id)
-	d.j.taken = append(d.j.taken, d.now)
-	if d.rng.IntN(3) > 0 {
-		r.key = fmt.Sprintf("k%d", d.rng.IntN(4))
+	id := s.nextID
+	s.nextID++
+	r := &observedRequest{class: c, slots: float64(1 + s.rng.IntN(2)), deadline: s.now + budget}
+	s.checker.requests[id], s.checker.openIDs = r, append(s.checker.openIDs, id)
+	s.checker.arrivals = append(s.checker.arrivals, s.now)
+	if s.rng.IntN(3) > 0 {
+		r.key = fmt.Sprintf("k%d", s.rng.IntN(4))
 	}
 	if c.InOrder {
-		d.j.turns[r.key] = append(d.j.turns[r.key], r)
+		s.checker.keyOrder[r.key] = append(s.checker.keyOrder[r.key], r)
 	}
-	ev := Event{Kind: Arrived, Request: id, Class: c.Name, Budget: budget, Slots: r.slots, Repeat: d.rng.IntN(5) == 0, Key: r.key}
-	d.step(ev)
+	ev := Event{Kind: Arrived, Request: id, Class: c.Name, Budget: budget, Slots: r.slots, Repeat: s.rng.IntN(5) == 0, Key: r.key}
+	s.step(ev)
 }
 
-// end ends the i-th attempt that is out, in any way that is legal now.
-func (d *drill) end(i int, res Result) {
-	o := d.out[i]
-	d.out = slices.Delete(d.out, i, i+1)
-	r := d.j.reqs[o.id]
+// endAttempt ends the i-th attempt in flight with the given result.
+func (s *simulation) endAttempt(i int, res Result) {
+	o := s.inFlight[i]
+	s.inFlight = slices.Delete(s.inFlight, i, i+1)
+	r := s.checker.requests[o.id]
 	a := &r.attempts[o.attempt]
-	a.out, a.result, a.ended = false, res, d.now
-	final := r.over
+	a.inFlight, a.result, a.endedAt = false, res, s.now
+	final := r.done
 	if res == OK {
-		r.over, final = true, true
+		r.done, final = true, true
 	}
 	ev := Event{Kind: Ended, Request: o.id, Attempt: o.attempt, Worker: a.worker, Result: res, Final: final,
-		Elapsed: d.now - a.sent}
-	if d.rng.IntN(3) > 0 && res != NoConnection {
-		in := d.rng.Float64() * d.j.slots
-		ev.Report = Report{Present: true, InFlight: in, Waiting: float64(d.rng.IntN(2)), Free: -1}
-		if d.j.s.ReportsFree {
-			ev.Report.Free = d.j.slots - in
+		Elapsed: s.now - a.sentAt}
+	if s.rng.IntN(3) > 0 && res != NoConnection {
+		in := s.rng.Float64() * s.checker.slots
+		ev.Report = Report{Present: true, InFlight: in, Waiting: float64(s.rng.IntN(2)), Free: -1}
+		if s.checker.settings.ReportsFree {
+			ev.Report.Free = s.checker.slots - in
 			ev.Report.InFlight += ev.Report.Waiting
 		}
 	}
-	d.step(ev)
-	if d.rng.IntN(20) == 0 {
-		d.step(ev) // doubled
+	s.step(ev)
+	if s.rng.IntN(20) == 0 {
+		s.step(ev) // duplicate event
 	}
 }
 
-// elapse moves the clock and delivers the timers, outcomes and departures that come due.
-func (d *drill) elapse(by time.Duration) {
-	until := d.now + by
+// advance moves the clock and delivers the timers and timeouts that come due.
+func (s *simulation) advance(by time.Duration) {
+	until := s.now + by
 	for {
 		at := until
-		for _, t := range d.j.timers {
-			at = min(at, max(t.at, d.now))
+		for _, t := range s.checker.timers {
+			at = min(at, max(t.at, s.now))
 		}
-		for _, id := range d.j.ids {
-			if r := d.j.reqs[id]; r != nil && !r.over {
-				at = min(at, max(d.now, r.deadline))
+		for _, id := range s.checker.openIDs {
+			if r := s.checker.requests[id]; r != nil && !r.done {
+				at = min(at, max(s.now, r.deadline))
 			}
 		}
-		d.now = at
+		s.now = at
 		var due []dueTimer
-		d.j.timers = slices.DeleteFunc(d.j.timers, func(t dueTimer) bool {
-			if t.at <= d.now {
+		s.checker.timers = slices.DeleteFunc(s.checker.timers, func(t dueTimer) bool {
+			if t.at <= s.now {
 				due = append(due, t)
 			}
-			return t.at <= d.now
+			return t.at <= s.now
 		})
 		for _, t := range due {
-			d.step(Event{Kind: TimerDue, Timer: t.key})
+			s.step(Event{Kind: TimerDue, Timer: t.timer})
 		}
-		for i := len(d.out) - 1; i >= 0; i-- { // time-outs at the deadline
-			if r := d.j.reqs[d.out[i].id]; !r.over && d.now >= r.deadline {
-				d.end(i, TimedOut)
-				i = min(i, len(d.out))
+		for i := len(s.inFlight) - 1; i >= 0; i-- { // timeouts at the deadline
+			if r := s.checker.requests[s.inFlight[i].id]; !r.done && s.now >= r.deadline {
+				s.endAttempt(i, TimedOut)
+				i = min(i, len(s.inFlight))
 			}
 		}
-		d.j.overdue(d.now)
-		if len(due) == 0 && d.now >= until {
+		s.checker.checkDeadlines(s.now)
+		if len(due) == 0 && s.now >= until {
 			return
 		}
-		d.now += 100 * time.Microsecond
-		until = max(until, d.now)
+		s.now += 100 * time.Microsecond
+		until = max(until, s.now)
 	}
 }
 
-func (d *drill) random(t *testing.T) {
-	switch n := d.rng.IntN(100); {
+// randomEvent delivers one random event, or advances the clock.
+func (s *simulation) randomEvent(t *testing.T) {
+	switch n := s.rng.IntN(100); {
 	case n < 35:
-		d.request()
-	case n < 65 && len(d.out) > 0:
-		i := d.rng.IntN(len(d.out))
-		r := d.j.reqs[d.out[i].id]
-		res := []Result{OK, OK, OK, OK, OK, OK, Failed, Full, TimedOut, NoConnection, Reset, Cancelled, NeverSent}[d.rng.IntN(13)]
-		begun := r.attempts[d.out[i].attempt].begun
-		if res == OK && (r.over || (d.now-begun).Seconds() < d.j.run[r.class.Name]) {
-			return // it still runs, or its answer is not wanted
+		s.newRequest()
+	case n < 65 && len(s.inFlight) > 0:
+		i := s.rng.IntN(len(s.inFlight))
+		r := s.checker.requests[s.inFlight[i].id]
+		res := []Result{OK, OK, OK, OK, OK, OK, Failed, Full, TimedOut, NoConnection, Reset, Cancelled, NeverSent}[s.rng.IntN(13)]
+		startedAt := r.attempts[s.inFlight[i].attempt].startedAt
+		if res == OK && (r.done || (s.now-startedAt).Seconds() < s.checker.runSeconds[r.class.Name]) {
+			return // it still runs, or no response is expected
 		}
-		d.end(i, res)
-	case n < 75 && len(d.out) > 0:
-		o := d.out[d.rng.IntN(len(d.out))]
-		a := &d.j.reqs[o.id].attempts[o.attempt]
-		started := d.rng.IntN(2) == 0 && a.begun == a.sent
+		s.endAttempt(i, res)
+	case n < 75 && len(s.inFlight) > 0:
+		o := s.inFlight[s.rng.IntN(len(s.inFlight))]
+		a := &s.checker.requests[o.id].attempts[o.attempt]
+		started := s.rng.IntN(2) == 0 && a.startedAt == a.sentAt
 		if started {
-			a.begun = d.now
+			a.startedAt = s.now
 		}
-		d.step(Event{Kind: Noted, Request: o.id, Attempt: o.attempt, Worker: a.worker, Started: started,
-			Fraction: d.rng.Float64()})
+		s.step(Event{Kind: Noted, Request: o.id, Attempt: o.attempt, Worker: a.worker, Started: started,
+			Fraction: s.rng.Float64()})
 	case n < 78:
-		d.list([]ListScope{Changes, Changes, Whole, AskFailed}[d.rng.IntN(4)])
-	case n < 80 && len(d.j.ids) > 0:
-		if r := d.j.reqs[d.j.ids[d.rng.IntN(len(d.j.ids))]]; r != nil && !r.over {
-			r.over = true
-			for id, x := range d.j.reqs {
+		s.sendList([]ListScope{Changes, Changes, Whole, AskFailed}[s.rng.IntN(4)])
+	case n < 80 && len(s.checker.openIDs) > 0:
+		if r := s.checker.requests[s.checker.openIDs[s.rng.IntN(len(s.checker.openIDs))]]; r != nil && !r.done {
+			r.done = true
+			for id, x := range s.checker.requests {
 				if x == r {
-					d.step(Event{Kind: Departed, Request: id})
+					s.step(Event{Kind: Departed, Request: id})
 					break
 				}
 			}
 		}
-	case n < 82: // ids and workers nobody knows
-		d.step(Event{Kind: Ended, Request: 1 << 50, Worker: "nobody", Result: Result(d.rng.IntN(8))})
-		d.step(Event{Kind: Departed, Request: 1 << 50})
-		d.step(Event{Kind: Noted, Request: 1 << 50, Attempt: 3, Started: true})
-		d.step(Event{Kind: TimerDue, Timer: d.rng.Uint64()})
-		d.step(Event{Kind: Probed, Worker: "nobody"})
-		d.step(Event{Kind: PeerSpoke})
-		d.step(Event{Kind: Kept, Worker: "nobody", Request: 1 << 50, Keep: &Keep{Request: 1 << 50}})
-	case n < 84 && len(d.j.ids) > 0 && d.rng.IntN(3) > 0: // room held and let go, with or without sense
-		keep := &Keep{Request: d.j.ids[d.rng.IntN(len(d.j.ids))], Spare: float64(d.rng.IntN(3)), Most: 1}
-		for _, id := range slices.Sorted(maps.Keys(d.j.workers)) {
-			if d.rng.IntN(4) == 0 {
-				if d.rng.IntN(2) == 0 {
+	case n < 82: // unknown IDs and workers
+		s.step(Event{Kind: Ended, Request: 1 << 50, Worker: "unknown", Result: Result(s.rng.IntN(8))})
+		s.step(Event{Kind: Departed, Request: 1 << 50})
+		s.step(Event{Kind: Noted, Request: 1 << 50, Attempt: 3, Started: true})
+		s.step(Event{Kind: TimerDue, Timer: s.rng.Uint64()})
+		s.step(Event{Kind: Probed, Worker: "unknown"})
+		s.step(Event{Kind: PeerSpoke})
+		s.step(Event{Kind: Kept, Worker: "unknown", Request: 1 << 50, Keep: &Keep{Request: 1 << 50}})
+	case n < 84 && len(s.checker.openIDs) > 0 && s.rng.IntN(3) > 0: // reservations made and released, valid or not
+		keep := &Keep{Request: s.checker.openIDs[s.rng.IntN(len(s.checker.openIDs))], Spare: float64(s.rng.IntN(3)), Most: 1}
+		for _, id := range slices.Sorted(maps.Keys(s.checker.workers)) {
+			if s.rng.IntN(4) == 0 {
+				if s.rng.IntN(2) == 0 {
 					keep = nil
 				}
-				d.step(Event{Kind: Kept, Worker: id, Request: d.j.ids[0], Keep: keep})
+				s.step(Event{Kind: Kept, Worker: id, Request: s.checker.openIDs[0], Keep: keep})
 			}
 		}
-	case n < 83 && d.rng.IntN(6) == 0:
-		d.restart(t)
+	case n < 83 && s.rng.IntN(6) == 0:
+		s.restart(t)
 	default:
-		d.elapse(time.Duration(d.rng.IntN(120)) * ms)
+		s.advance(time.Duration(s.rng.IntN(120)) * ms)
 	}
 }
 
@@ -535,53 +550,54 @@
 	if testing.Short() {
 		sequences = 300
 	}
-	// One goroutine for each share of the seeds: under the race detector this test is the longest of all.
+	// Each share of the seeds runs in its own goroutine: under the race detector this test is the slowest of all.
 	const shares = 8
 	for share := range shares {
 		t.Run(fmt.Sprintf("seeds %d mod %d", share, shares), func(t *testing.T) {
 			t.Parallel()
 			for seed := share; seed < sequences; seed += shares {
-				rulesHold(t, seed)
+				checkRules(t, seed)
 			}
 		})
 	}
 }
 
-func rulesHold(t *testing.T, seed int) {
-	d := newDrill(t, uint64(seed))
+// checkRules runs the sequence of one seed and checks that nothing is left over at its end.
+func checkRules(t *testing.T, seed int) {
+	sim := newSimulation(t, uint64(seed))
 	for range 150 {
-		d.random(t)
+		sim.randomEvent(t)
 	}
-	d.elapse(10 * time.Second)
-	if len(d.j.broken) > 0 {
-		t.Fatalf("seed %d: %d rules broken, first: %s", seed, len(d.j.broken), d.j.broken[0])
+	sim.advance(10 * time.Second)
+	if len(sim.checker.violations) > 0 {
+		t.Fatalf("seed %d: %d violations, first: %s", seed, len(sim.checker.violations), sim.checker.violations[0])
 	}
-	for len(d.out) > 0 {
-		d.end(0, Cancelled)
+	for len(sim.inFlight) > 0 {
+		sim.endAttempt(0, Cancelled)
 	}
-	for _, l := range d.b.keyQueues {
-		if len(l.requests) > 0 {
-			t.Fatalf("seed %d: requests kept in the line of a key after all is over", seed)
+	for _, queue := range sim.balancer.keyQueues {
+		if len(queue.requests) > 0 {
+			t.Fatalf("seed %d: requests are left in a key queue after all attempts ended", seed)
 		}
 	}
-	if len(d.b.requests) > 0 || len(d.b.queued) > 0 {
-		t.Fatalf("seed %d: %d requests kept after all is over", seed, len(d.b.requests))
+	if len(sim.balancer.requests) > 0 || len(sim.balancer.queued) > 0 {
+		t.Fatalf("seed %d: %d requests are left after all attempts ended", seed, len(sim.balancer.requests))
 	}
 }
 
 func TestSameEventsSameActions(t *testing.T) {
 	play := func() []Action {
-		d := newDrill(t, 42)
+		sim := newSimulation(t, 42)
 		var all []Action
 		for range 300 {
-			d.random(t)
-			all = d.b.Step(d.now, &Event{Kind: Arrived, Request: d.next + 1<<40, Class: "c0", Budget: time.Second, Slots: 1}, all)
-			d.next++
-			all = d.b.Step(d.now, &Event{Kind: Departed, Request: d.next - 1 + 1<<40}, all)
+			sim.randomEvent(t)
+			all = sim.balancer.Step(sim.now, &Event{Kind: Arrived, Request: sim.nextID + 1<<40, Class: "c0", Budget: time.Second, Slots: 1}, all)
+			sim.nextID++
+			all = sim.balancer.Step(sim.now, &Event{Kind: Departed, Request: sim.nextID - 1 + 1<<40}, all)
 		}
 		return all
 	}
 	if first, second := play(), play(); !slices.EqualFunc(first, second, func(x, y Action) bool { return reflect.DeepEqual(x, y) }) {
-		t.Fatal("two runs of the same events differ")
+		t.Fatal("two runs with the same events differ")
 	}
 }
