--- a/balance/api.go
+++ b/balance/api.go
@@ -180,7 +180,7 @@
 
 var resultNames = [...]string{"served", "failed", "full", "timed out", "no connection", "reset", "cancelled", "never sent"}
 
-// String returns the name of the result for logs.
+// String returns the name of the result.
 func (r Result) String() string {
 	if r < 0 || int(r) >= len(resultNames) {
 		return fmt.Sprintf("result %d", int(r))
--- a/balance/asking.go
+++ b/balance/asking.go
@@ -35,7 +35,7 @@
 type discoveryPacer struct {
 	outstanding  bool // a query is in flight or its watch is open
 	listReceived bool // discovery sent a list, and the watch has not ended since
-	peerHintUsed bool // a hint brought a query forward since discovery last sent this dispatcher a list
+	peerHintUsed bool // a hint was received since discovery last sent this dispatcher a list
 	failures     int  // failed queries in a row
 	nextAt       time.Duration
 }
--- a/balance/attempt.go
+++ b/balance/attempt.go
@@ -8,8 +8,8 @@
 
 // This file handles attempts from start to end.
 
-// cancel cancels attempt i of r if the settings allow it and its start is reported by its worker. An attempt
-// that is not in flight or is already cancelled is left as it is.
+// cancel cancels attempt i of r if the settings allow it and workers report starts. An attempt that is not in
+// flight or is already cancelled is left as it is.
 func (b *Balancer) cancel(r *request, i int, reason Reason) {
 	a := &r.attempts[i]
 	if a.inFlight && b.settings.Cancel && !a.cancelled && b.settings.TellsStart {
