--- a/balance/queue_test.go
+++ b/balance/queue_test.go
@@ -143,15 +143,15 @@
 // was lost.
 func TestUnsafeRequestsNeedMoreCapacityInShortage(t *testing.T) {
 	for _, c := range []struct {
-		effect      Effect
-		shed, taken float64
-		want        bool
+		effect          Effect
+		shortage, taken float64
+		want            bool
 	}{{Unsafe, 0, 3.3, true}, {Safe, 0, 3.3, false}, {Unsafe, 0.8, 2.9, false}, {Safe, 0.8, 2.9, true}} {
 		s := baseSettings()
 		s.TellsStart, s.Classes[0].Effect = true, c.effect
 		h := newHarness(t, s, newMembers(1)...)
 		w := h.balancer.ring[0]
-		w.slots, w.ownSlots, h.balancer.shortage = 4, c.taken, c.shed
+		w.slots, w.ownSlots, h.balancer.shortage = 4, c.taken, c.shortage
 		r := &request{class: h.balancer.classes["c"], slots: 1, value: 1, firstTryAt: h.now, respondBy: h.now + 5*time.Second}
 		h.balancer.estimate(r)
 		if got := h.balancer.hasCapacity(h.now, r, w); got != c.want {
