--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -265,7 +265,7 @@
 		}
 		m.member(now, &members.Event{Kind: members.Heard, From: ev.From, Msg: &m.msg})
 	case len(m.raw) > 0 && m.raw[0] == lease.Version:
-		e := lease.Event{Kind: lease.Heard, Wall: ev.Wall, From: ev.From}
+		e := lease.Event{Kind: lease.MessageReceived, Wall: ev.Wall, From: ev.From}
 		if m.signed(now, ev.From, e.Msg.Parse(m.raw, m.digest)) {
 			m.lease(now, &e)
 		}
@@ -315,7 +315,7 @@
 		for i := range m.alive {
 			m.alive[i] = m.members.Alive(i)
 		}
-		m.lease(now, &lease.Event{Kind: lease.Living, Alive: m.alive})
+		m.lease(now, &lease.Event{Kind: lease.MembersChanged, Alive: m.alive})
 	}
 }
 
@@ -335,11 +335,11 @@
 			out.Kind, out.Duty, out.Note = Gained, m.c.Lease.Duties[a.Duty].Name, a.Note
 		case lease.Lost:
 			out.Kind, out.Duty, out.Note = Lost, m.c.Lease.Duties[a.Duty].Name, a.Reason
-		case lease.Took:
+		case lease.ActAccepted:
 			out.Kind, out.Duty = Took, m.c.Lease.Duties[a.Duty].Name
-		case lease.Refused:
+		case lease.ActRefused:
 			out.Kind, out.Duty = Refused, m.c.Lease.Duties[a.Duty].Name
-		case lease.Learnt:
+		case lease.HolderChanged:
 			out.Kind, out.Duty = Learnt, m.c.Lease.Duties[a.Duty].Name
 		}
 		m.acts = append(m.acts, out)
@@ -376,7 +376,7 @@
 	d := m.duties[duty]
 	holder, number, _ = m.leases.Holder(d, now)
 	own, _ = m.leases.Holds(d, now)
-	return holder, number, m.leases.Newest(d), own
+	return holder, number, m.leases.NewestNumber(d), own
 }
 
 // tell sends what is in raw to one scheduler, or to all others that live (-1).
@@ -470,12 +470,12 @@
 }
 
 // Until is when this scheduler ceases to hold a duty unless it is granted anew.
-func (m *Machine) Until(duty string) float64 { return m.leases.Until(m.duties[duty]) }
+func (m *Machine) Until(duty string) float64 { return m.leases.HeldUntil(m.duties[duty]) }
 
 // Leave says what the successor in a duty needs to know.
 func (m *Machine) Leave(duty, note string) {
 	if d, known := m.duties[duty]; known {
-		m.leases.Leave(d, note)
+		m.leases.SetHandoverNote(d, note)
 	}
 }
 
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -27,18 +27,18 @@
 
 func TestImpossibleSettings(t *testing.T) {
 	for want, change := range map[string]func(*Config){
-		"scheduler 9 of 5":          func(c *Config) { c.Lease.Self, c.Members.Self = 9, 9 },
-		"voters is 6":               func(c *Config) { c.Lease.Voters = 6 },
-		"lease is 100ms":            func(c *Config) { c.Lease.Lease = 100 },
-		"quiet is 1000ms":           func(c *Config) { c.Lease.Quiet = 1000 },
-		"drift is 0.2":              func(c *Config) { c.Lease.Drift = 0.2 },
-		"or one like \"a\"":         func(c *Config) { c.Lease.Duties = []lease.Duty{{Name: "a"}, {Name: "a"}} },
-		"duties, and may be 1024":   func(c *Config) { c.Lease.Duties = make([]lease.Duty, 1025) },
-		"1 zones of 5":              func(c *Config) { c.Lease.Zones = []string{"a"} },
-		"period is 1ms":             func(c *Config) { c.Members.Period = 1 },
-		"answer_in is 400ms":        func(c *Config) { c.Members.AnswerIn = 400 },
-		"helpers is 9":              func(c *Config) { c.Members.Helpers = 9 },
-		"4 addresses, 5 schedulers": func(c *Config) { c.Addresses = c.Addresses[:4] },
+		"scheduler 9 of 5":            func(c *Config) { c.Lease.Self, c.Members.Self = 9, 9 },
+		"voters is 6":                 func(c *Config) { c.Lease.Voters = 6 },
+		"lease is 100ms":              func(c *Config) { c.Lease.Lease = 100 },
+		"quiet is 1000ms":             func(c *Config) { c.Lease.Quiet = 1000 },
+		"drift is 0.2":                func(c *Config) { c.Lease.Drift = 0.2 },
+		"its ID equals that of \"a\"": func(c *Config) { c.Lease.Duties = []lease.Duty{{Name: "a"}, {Name: "a"}} },
+		"duties configured; at most 1024 are allowed": func(c *Config) { c.Lease.Duties = make([]lease.Duty, 1025) },
+		"1 zones configured for 5":                    func(c *Config) { c.Lease.Zones = []string{"a"} },
+		"period is 1ms":                               func(c *Config) { c.Members.Period = 1 },
+		"answer_in is 400ms":                          func(c *Config) { c.Members.AnswerIn = 400 },
+		"helpers is 9":                                func(c *Config) { c.Members.Helpers = 9 },
+		"4 addresses, 5 schedulers":                   func(c *Config) { c.Addresses = c.Addresses[:4] },
 	} {
 		c := config(0, 5, "examiner")
 		change(&c)
@@ -115,24 +115,24 @@
 		id := lease.ID("examiner")
 		for range rapid.IntRange(1, 60).Draw(t, "messages") {
 			now += rapid.Float64Range(0, 900).Draw(t, "gap")
-			x := lease.Msg{Duty: id, Kind: rapid.SampledFrom([]lease.MsgKind{lease.Ask, lease.Ask, lease.Ask, lease.Peek, lease.GiveUp}).Draw(t, "kind"),
-				Life: uint32(rapid.IntRange(1, 2).Draw(t, "life")), Seq: uint32(rapid.IntRange(1, 9).Draw(t, "seq")), Number: uint64(rapid.IntRange(1, 12).Draw(t, "number"))}
+			x := lease.Msg{Duty: id, Kind: rapid.SampledFrom([]lease.MsgKind{lease.Request, lease.Request, lease.Request, lease.Query, lease.Release}).Draw(t, "kind"),
+				RunID: uint32(rapid.IntRange(1, 2).Draw(t, "life")), Seq: uint32(rapid.IntRange(1, 9).Draw(t, "seq")), Number: uint64(rapid.IntRange(1, 12).Draw(t, "number"))}
 			from := rapid.IntRange(1, 4).Draw(t, "from")
-			if x.Kind == lease.GiveUp && last.to == from && last.life == x.Life && x.Seq >= last.seq {
+			if x.Kind == lease.Release && last.to == from && last.life == x.RunID && x.Seq >= last.seq {
 				last.end = now
 			}
-			for _, a := range m.Step(now, &lease.Event{Kind: lease.Heard, From: from, Msg: x}, nil) {
+			for _, a := range m.Step(now, &lease.Event{Kind: lease.MessageReceived, From: from, Msg: x}, nil) {
 				if a.Kind != lease.Send || a.Msg.Kind != lease.Grant {
 					continue
 				}
-				if (last.to != from || last.life != x.Life) && now < last.end {
+				if (last.to != from || last.life != x.RunID) && now < last.end {
 					t.Fatalf("granted to %d at %g, though %d has it until %g", from, now, last.to, last.end)
 				}
-				if a.Msg.Number < newest || a.Msg.Number == newest && (last.to != from || last.life != x.Life) {
+				if a.Msg.Number < newest || a.Msg.Number == newest && (last.to != from || last.life != x.RunID) {
 					t.Fatalf("number %d after %d", a.Msg.Number, newest)
 				}
 				newest = a.Msg.Number
-				last = grant{from, x.Life, x.Seq, now + c.Lease}
+				last = grant{from, x.RunID, x.Seq, now + c.Lease}
 			}
 		}
 	})
@@ -160,7 +160,7 @@
 		if a.Kind == lease.Lost {
 			lost++
 		}
-		require.False(t, a.Kind == lease.Send && a.Msg.Kind == lease.HandOn, "it has nothing to hand on")
+		require.False(t, a.Kind == lease.Send && a.Msg.Kind == lease.Handover, "it has nothing to hand on")
 	}
 	require.Equal(t, 1, lost)
 }
@@ -174,14 +174,14 @@
 		now += 20
 		require.Less(t, now, 20_000.0)
 		for _, a := range m.Step(now, &lease.Event{Kind: lease.Due}, nil) {
-			if a.Kind != lease.Send || a.Msg.Kind != lease.Peek && a.Msg.Kind != lease.Ask {
+			if a.Kind != lease.Send || a.Msg.Kind != lease.Query && a.Msg.Kind != lease.Request {
 				continue
 			}
 			x := a.Msg
-			if x.Kind++; a.Msg.Kind == lease.Ask { // Free after Peek, Grant after Ask
+			if x.Kind++; a.Msg.Kind == lease.Request { // Free after Query, Grant after Request
 				x.Kind = lease.Grant
 			}
-			m.Step(now, &lease.Event{Kind: lease.Heard, From: a.To, Msg: x}, nil)
+			m.Step(now, &lease.Event{Kind: lease.MessageReceived, From: a.To, Msg: x}, nil)
 		}
 	}
 	return m, now
@@ -212,7 +212,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			ev := lease.Event{Kind: lease.Heard, From: 1, Msg: lease.Msg{Kind: lease.Ask, Duty: lease.ID("examiner"), Life: 7, Number: 9}}
+			ev := lease.Event{Kind: lease.MessageReceived, From: 1, Msg: lease.Msg{Kind: lease.Request, Duty: lease.ID("examiner"), RunID: 7, Number: 9}}
 			var acts []lease.Action
 			b.ReportAllocs()
 			b.ResetTimer()
--- a/internal/fleet/lease/bid.go
+++ b/internal/fleet/lease/bid.go
@@ -6,347 +6,357 @@
 	"slices"
 )
 
+// phase is the state of a scheduler with respect to one duty.
 type phase int
 
 const (
-	idle    phase = iota // stands by
-	peeking              // asks the voters who holds it
-	asking               // asks them to grant it
+	idle       phase = iota // on standby
+	querying                // querying the voters for the current holder
+	requesting              // requesting grants from the voters
 	holding
 )
 
-// bid is what a scheduler keeps of a duty that it may hold.
-type bid struct {
-	id      uint32
-	phase   phase
-	rank    int
-	seq     uint32
-	number  uint64  // under which it is asked for or held
-	seen    uint64  // the newest heard of: it may have been asked for in vain, and held by nobody
-	held    uint64  // the newest under which somebody was heard to act: below it nothing is taken
-	askedAt float64 // when the round began: what is granted counts from then
-	tries   int     // times that the round was sent
-	got     uint16  // voters that said yes in this round,
-	no      uint16  // and no
-	left    float64 // the longest time that one of these named
-	until   float64 // holding: it ends then
-	losses  int     // of late: each doubles the wait before the next try
-	lostAt  float64 // the last
-	hurry   int     // further tries that may follow at once, as the holder is handing it on
-	from    int     // who is handing it on; -1: nobody
-	fromNo  uint64  // and its number: what voters say of that one's holding is over
-	quits   int     // leaving: sendings of its being handed on that are left
-	note    string  // for the next holder; or of the last one
-	actAt   float64 // holding: when all were told last
-	known   int     // who holds it, by its own word or else by a voter's, and until when at the latest
-	knownNo uint64  // and under which number
-	knownTo float64
+// claimState is a scheduler's state with respect to a duty that it may hold.
+type claimState struct {
+	id            uint32
+	phase         phase
+	rank          int
+	seq           uint32
+	number        uint64  // under which the duty is requested or held
+	newestSeen    uint64  // newest number seen; it may have been requested without success, and never held
+	newestHeld    uint64  // newest number under which a scheduler is known to have acted; acts below it are refused
+	roundAt       float64 // start of the round; grants count from this time
+	sends         int     // how often this round was sent
+	granted       uint16  // bit set of voters that responded yes in this round
+	denied        uint16  // bit set of voters that responded no in this round
+	longestWait   float64 // longest remaining time reported by a voter in this round, ms
+	until         float64 // phase holding: end of the hold
+	losses        int     // recent losses; each doubles the delay before the next claim
+	lostAt        float64 // time of the last loss
+	quickRetries  int     // immediate retries left while the previous holder is handing the duty over
+	handedBy      int     // scheduler that is handing the duty over; -1: no scheduler
+	handedNumber  uint64  // its number; voter reports of its hold up to this number are outdated
+	handoversLeft int     // shutting down: handover messages still to be sent
+	note          string  // for the next holder, or received from the previous one
+	announcedAt   float64 // phase holding: time of the last announcement
+	holder        int     // known holder, as reported by itself or else by a voter; -1: unknown
+	holderNumber  uint64  // number under which the known holder holds the duty
+	holderUntil   float64 // latest time until which the known holder may hold the duty
 }
 
 const (
-	crowd    = 4  // so many stand by closely; those behind look more seldom, the further back
-	maxTries = 4  // times that a round is sent
-	hurries  = 12 // tries that follow at once when a duty is handed on
-	quitting = 3  // times that one who leaves says so, as each datagram may be lost
-	maxLoss  = 4  // doublings of the wait
-	steady   = 10 // leases after which the last loss is forgotten
+	closeStandbys       = 4  // standbys that check soon after a lease ends; those ranked behind them check more rarely
+	maxRoundSends       = 4  // times that one round is sent
+	maxQuickRetries     = 12 // immediate retries while a duty is handed over
+	handoverSends       = 3  // times that a resigning scheduler sends its handover, as each datagram may be lost
+	maxBackoffDoublings = 4  // doublings of the delay after losses
+	lossMemoryLeases    = 10 // leases after which the last loss is forgotten
 )
 
-// late is why a duty is lost that was not given up.
-const late = "not granted anew in time"
+// notRenewed is the reason for the loss of a duty that was not released.
+const notRenewed = "not granted anew in time"
 
-// beat is the time between two sendings of one round.
-func (m *Machine) beat() float64 { return m.c.Lease / 12 }
+// resendInterval returns the time between two sends of one round, in ms.
+func (m *Machine) resendInterval() float64 { return m.config.Lease / 12 }
 
-// standBy is how long after a duty may be free this scheduler looks whether it is: those who stand
-// first at once, the others in steps, so that one that is dead or cut off costs a step and no more. Who
-// lost it lately leaves it to others first.
-func (m *Machine) standBy(d int) float64 {
-	b := &m.bids[d]
-	wait := float64(b.rank) * m.c.Lease / 8
-	if b.rank >= crowd {
-		wait = float64(b.rank) * m.c.Lease
+// standbyDelay returns how long after a duty may be free this scheduler checks it, in ms. Close
+// standbys check in steps of an eighth of a lease, so that one dead or isolated standby delays the
+// others by only one step. A scheduler that lost the duty recently waits longer, so that others claim
+// it first.
+func (m *Machine) standbyDelay(duty int) float64 {
+	claim := &m.claims[duty]
+	wait := float64(claim.rank) * m.config.Lease / 8
+	if claim.rank >= closeStandbys {
+		wait = float64(claim.rank) * m.config.Lease
 	}
-	if b.losses > 0 && m.now < b.lostAt+steady*m.c.Lease {
-		wait += m.c.Lease / 8 * math.Pow(2, float64(min(b.losses, maxLoss)))
+	if claim.losses > 0 && m.now < claim.lostAt+lossMemoryLeases*m.config.Lease {
+		wait += m.config.Lease / 8 * math.Pow(2, float64(min(claim.losses, maxBackoffDoublings)))
 	}
-	return wait + m.rng.Float64()*m.c.Lease/32
+	return wait + m.rng.Float64()*m.config.Lease/32
 }
 
-// turn is what a duty's timer brings.
-func (m *Machine) turn(d int) {
-	b := &m.bids[d]
+// onTimer handles the expiry of a duty's timer.
+func (m *Machine) onTimer(duty int) {
+	claim := &m.claims[duty]
 	switch {
-	case m.leaving && b.quits > 0 && b.held == b.number: // nobody is known to have it yet
-		m.giveUp(d)
-		m.handOn(d)
+	case m.leaving && claim.handoversLeft > 0 && claim.newestHeld == claim.number: // no successor is known to hold it yet
+		m.release(duty)
+		m.handOver(duty)
 	case m.leaving:
-	case b.phase == idle && m.now < b.knownTo && b.known != m.c.Self: // its holder said so: no need to ask
-		m.due.set(d, b.knownTo+m.standBy(d))
-	case b.phase == idle:
-		m.begin(d, peeking)
-	case b.phase == holding && m.now >= b.until:
-		m.lose(d, late)
-	case b.phase == holding && m.now >= b.askedAt+m.c.Lease/3:
-		m.begin(d, holding)
-	case b.tries >= maxTries && b.phase != holding:
-		m.fail(d)
-	case b.tries >= maxTries:
-		m.due.set(d, min(b.until, b.askedAt+m.c.Lease/3))
+	case claim.phase == idle && m.now < claim.holderUntil && claim.holder != m.config.Self: // the holder announced itself, so no query is needed
+		m.timers.set(duty, claim.holderUntil+m.standbyDelay(duty))
+	case claim.phase == idle:
+		m.startRound(duty, querying)
+	case claim.phase == holding && m.now >= claim.until:
+		m.lose(duty, notRenewed)
+	case claim.phase == holding && m.now >= claim.roundAt+m.config.Lease/3:
+		m.startRound(duty, holding)
+	case claim.sends >= maxRoundSends && claim.phase != holding:
+		m.abandonRound(duty)
+	case claim.sends >= maxRoundSends:
+		m.timers.set(duty, min(claim.until, claim.roundAt+m.config.Lease/3))
 	default:
-		m.round(d)
+		m.sendRound(duty)
 	}
 }
 
-// begin starts a round: voters are asked, and only answers to this asking count.
-func (m *Machine) begin(d int, p phase) {
-	b := &m.bids[d]
-	b.phase, b.askedAt, b.tries, b.got, b.no, b.left = p, m.now, 0, 0, 0, 0
-	b.seq++
-	m.round(d)
+// startRound starts a round of messages to the voters. Only responses to this round count.
+func (m *Machine) startRound(duty int, p phase) {
+	claim := &m.claims[duty]
+	claim.phase, claim.roundAt, claim.sends, claim.granted, claim.denied, claim.longestWait = p, m.now, 0, 0, 0, 0
+	claim.seq++
+	m.sendRound(duty)
 }
 
-// round sends to the voters that have not answered, and comes back.
-func (m *Machine) round(d int) {
-	b := &m.bids[d]
-	x := Msg{Kind: Ask, Duty: b.id, Life: m.c.Life, Seq: b.seq, Number: b.number}
-	if b.phase == peeking {
-		x.Kind = Peek
+// sendRound sends the round's message to the voters that have not responded, and sets the resend
+// timer.
+func (m *Machine) sendRound(duty int) {
+	claim := &m.claims[duty]
+	msg := Msg{Kind: Request, Duty: claim.id, RunID: m.config.Life, Seq: claim.seq, Number: claim.number}
+	if claim.phase == querying {
+		msg.Kind = Query
 	}
-	for v := range m.c.Voters {
-		if (b.got|b.no)>>v&1 == 0 {
-			m.send(v, x)
+	for v := range m.config.Voters {
+		if (claim.granted|claim.denied)>>v&1 == 0 {
+			m.send(v, msg)
 		}
 	}
-	b.tries++
-	next := m.now + m.beat()
-	if b.phase == holding {
-		next = min(next, b.until)
+	claim.sends++
+	next := m.now + m.resendInterval()
+	if claim.phase == holding {
+		next = min(next, claim.until)
 	}
-	m.due.set(d, next)
+	m.timers.set(duty, next)
 }
 
-// answered takes a voter's answer in.
-func (m *Machine) answered(d, from int, x *Msg) {
-	b := &m.bids[d]
-	if b.phase == holding && m.now >= b.until {
-		m.lose(d, late) // this process stood still, or its timer comes late
+// onVoterResponse processes a voter's response.
+func (m *Machine) onVoterResponse(duty, from int, msg *Msg) {
+	claim := &m.claims[duty]
+	if claim.phase == holding && m.now >= claim.until {
+		m.lose(duty, notRenewed) // this process paused, or its timer fired late
 	}
-	b.seen = max(b.seen, x.Number)
-	if x.Kind == Held && !b.over(x) {
-		m.learn(d, x.Who, x.Number, m.now+x.Left)
+	claim.newestSeen = max(claim.newestSeen, msg.Number)
+	if msg.Kind == Held && !claim.endedByHandover(msg) {
+		m.learnHolder(duty, msg.Holder, msg.Number, m.now+msg.Remaining)
 	}
-	if b.phase == idle || x.Life != m.c.Life || x.Seq != b.seq {
+	if claim.phase == idle || msg.RunID != m.config.Life || msg.Seq != claim.seq {
 		return
 	}
 	bit := uint16(1) << from
-	yes := x.Kind == Grant && b.phase != peeking && x.Number == b.number || x.Kind == Free && b.phase == peeking
+	yes := msg.Kind == Grant && claim.phase != querying && msg.Number == claim.number || msg.Kind == Free && claim.phase == querying
 	switch {
-	case yes && b.no&bit == 0:
-		b.got |= bit
-	case !yes && b.got&bit == 0:
-		b.no |= bit
-		if x.Kind != Stale && !b.over(x) {
-			b.left = max(b.left, x.Left)
+	case yes && claim.denied&bit == 0:
+		claim.granted |= bit
+	case !yes && claim.granted&bit == 0:
+		claim.denied |= bit
+		if msg.Kind != Stale && !claim.endedByHandover(msg) {
+			claim.longestWait = max(claim.longestWait, msg.Remaining)
 		}
 	}
 	switch {
-	case yes && bits.OnesCount16(b.got) >= m.majority():
-		m.won(d)
-	case bits.OnesCount16(b.no) > m.c.Voters-m.majority() && b.phase != holding:
-		m.fail(d)
+	case yes && bits.OnesCount16(claim.granted) >= m.majority():
+		m.onMajority(duty)
+	case bits.OnesCount16(claim.denied) > m.config.Voters-m.majority() && claim.phase != holding:
+		m.abandonRound(duty)
 	}
 }
 
-// over says whether a voter names one who has handed the duty on since.
-func (b *bid) over(x *Msg) bool { return x.Who == b.from && x.Number <= b.fromNo }
+// endedByHandover reports whether a voter's report names a holder that has handed the duty over since.
+func (c *claimState) endedByHandover(msg *Msg) bool {
+	return msg.Holder == c.handedBy && msg.Number <= c.handedNumber
+}
 
-// won is what a majority of yes brings.
-func (m *Machine) won(d int) {
-	b := &m.bids[d]
-	until := b.askedAt + m.hold()
+// onMajority handles yes responses from a majority of voters.
+func (m *Machine) onMajority(duty int) {
+	claim := &m.claims[duty]
+	until := claim.roundAt + m.holdTime()
 	switch {
-	case b.phase == peeking:
-		b.number = m.next(b)
-		m.begin(d, asking)
-	case b.phase == holding:
-		b.until = max(b.until, until)
-		if m.now >= b.actAt+m.c.Lease/2 {
-			m.act(d)
+	case claim.phase == querying:
+		claim.number = m.nextNumber(claim)
+		m.startRound(duty, requesting)
+	case claim.phase == holding:
+		claim.until = max(claim.until, until)
+		if m.now >= claim.announcedAt+m.config.Lease/2 {
+			m.announce(duty)
 		}
-		m.due.set(d, min(b.until, b.askedAt+m.c.Lease/3))
+		m.timers.set(duty, min(claim.until, claim.roundAt+m.config.Lease/3))
 	case m.now < until:
-		b.phase, b.until, b.hurry, b.from, b.held = holding, until, 0, -1, max(b.held, b.number)
+		claim.phase, claim.until, claim.quickRetries, claim.handedBy, claim.newestHeld = holding, until, 0, -1, max(claim.newestHeld, claim.number)
 		m.Counts.Gained++
-		m.know(d, m.c.Self, b.number, until)
-		m.do(Action{Kind: Gained, Duty: d, Number: b.number, Note: b.note})
-		m.act(d)
-		m.due.set(d, min(b.until, b.askedAt+m.c.Lease/3))
+		m.recordHolder(duty, m.config.Self, claim.number, until)
+		m.emit(Action{Kind: Gained, Duty: duty, Number: claim.number, Note: claim.note})
+		m.announce(duty)
+		m.timers.set(duty, min(claim.until, claim.roundAt+m.config.Lease/3))
 	default:
-		m.fail(d) // the answers took longer than the lease
+		m.abandonRound(duty) // the responses took longer than the lease
 	}
 }
 
-// next is a number newer than all heard of. Where all who remember one are gone it rests on the wall
-// clock, which is past whatever stood there before the voters' silence.
-func (m *Machine) next(b *bid) uint64 { return max(b.seen+1, uint64(max(0, m.wall))) }
+// nextNumber returns a number newer than all seen. If all schedulers that remember a number are gone,
+// it is taken from the wall clock, which is past any clock value used before the voters' quiet period.
+func (m *Machine) nextNumber(claim *claimState) uint64 {
+	return max(claim.newestSeen+1, uint64(max(0, m.wall)))
+}
 
-// fail ends an asking without success, and says when to try again.
-func (m *Machine) fail(d int) {
-	b := &m.bids[d]
-	if b.phase == asking {
-		m.giveUp(d)
+// abandonRound ends an unsuccessful round and schedules the next attempt.
+func (m *Machine) abandonRound(duty int) {
+	claim := &m.claims[duty]
+	if claim.phase == requesting {
+		m.release(duty)
 	}
-	b.phase = idle
+	claim.phase = idle
 	switch {
-	case b.hurry > 0 && b.left == 0: // the holder's giving up is on its way
-		b.hurry--
-		m.due.set(d, m.now+5+5*m.rng.Float64())
-	case b.left > 0:
-		b.hurry, b.from = 0, -1
-		m.due.set(d, m.now+b.left+m.standBy(d))
-	default: // others ask as well, or no majority answers
-		b.hurry, b.from = 0, -1
-		m.due.set(d, m.now+m.beat()*(0.5+m.rng.Float64())+m.standBy(d))
+	case claim.quickRetries > 0 && claim.longestWait == 0: // the holder's release is still in flight
+		claim.quickRetries--
+		m.timers.set(duty, m.now+5+5*m.rng.Float64())
+	case claim.longestWait > 0:
+		claim.quickRetries, claim.handedBy = 0, -1
+		m.timers.set(duty, m.now+claim.longestWait+m.standbyDelay(duty))
+	default: // others also request it, or no majority responds
+		claim.quickRetries, claim.handedBy = 0, -1
+		m.timers.set(duty, m.now+m.resendInterval()*(0.5+m.rng.Float64())+m.standbyDelay(duty))
 	}
 }
 
-// lose ends a holding.
-func (m *Machine) lose(d int, reason string) {
-	b := &m.bids[d]
-	// First of all, as the host does one thing after the other, and may stand still between two: once
-	// the voters know, another may hold it.
-	m.do(Action{Kind: Lost, Duty: d, Number: b.number, Reason: reason})
-	m.giveUp(d)
-	b.phase = idle
-	if m.now >= b.lostAt+steady*m.c.Lease {
-		b.losses = 0
+// lose ends the hold on a duty.
+func (m *Machine) lose(duty int, reason string) {
+	claim := &m.claims[duty]
+	// Emit Lost before the releases: the host carries out actions one by one and may pause between
+	// two. Once the voters have received the release, another scheduler may hold the duty.
+	m.emit(Action{Kind: Lost, Duty: duty, Number: claim.number, Reason: reason})
+	m.release(duty)
+	claim.phase = idle
+	if m.now >= claim.lostAt+lossMemoryLeases*m.config.Lease {
+		claim.losses = 0
 	}
-	b.losses, b.lostAt = b.losses+1, m.now
+	claim.losses, claim.lostAt = claim.losses+1, m.now
 	m.Counts.Lost++
-	m.due.set(d, m.now+m.standBy(d))
+	m.timers.set(duty, m.now+m.standbyDelay(duty))
 }
 
-// giveUp tells the voters that what they granted counts no more, so that nobody waits for its end.
-func (m *Machine) giveUp(d int) {
-	b := &m.bids[d]
-	for v := range m.c.Voters {
-		m.send(v, Msg{Kind: GiveUp, Duty: b.id, Life: m.c.Life, Seq: b.seq, Number: b.number})
+// release notifies the voters that this scheduler's grant is void, so that others need not wait for
+// its expiry.
+func (m *Machine) release(duty int) {
+	claim := &m.claims[duty]
+	for v := range m.config.Voters {
+		m.send(v, Msg{Kind: Release, Duty: claim.id, RunID: m.config.Life, Seq: claim.seq, Number: claim.number})
 	}
 }
 
-// resign hands on all that is held, and stands by for nothing more. It still votes.
+// resign hands over all held duties and stops claiming duties. The scheduler still votes.
 func (m *Machine) resign() {
 	m.leaving = true
-	for d := range m.bids {
-		b := &m.bids[d]
+	for duty := range m.claims {
+		claim := &m.claims[duty]
 		switch {
-		case b.phase == holding && m.now >= b.until:
-			m.lose(d, late)
-		case b.phase == holding:
-			m.lose(d, "handed on")
-			b.phase, b.quits = idle, quitting
-			m.handOn(d)
+		case claim.phase == holding && m.now >= claim.until:
+			m.lose(duty, notRenewed)
+		case claim.phase == holding:
+			m.lose(duty, "handed on")
+			claim.phase, claim.handoversLeft = idle, handoverSends
+			m.handOver(duty)
 			continue
-		case b.phase == asking:
-			m.giveUp(d)
+		case claim.phase == requesting:
+			m.release(duty)
 		}
-		b.phase = idle
-		m.due.set(d, math.Inf(1))
+		claim.phase = idle
+		m.timers.set(duty, math.Inf(1))
 	}
 }
 
-// handOn tells those who stand first for a duty that it is theirs, each a step later than the one before:
-// the first may be dead or stand still and nobody knows it yet, and the rest would wait for the lease's end.
-func (m *Machine) handOn(d int) {
-	b := &m.bids[d]
-	x := Msg{Kind: HandOn, Duty: b.id, Life: m.c.Life, Number: b.number, Note: b.note}
-	for i, to := range m.heirs(d) {
-		x.Left = float64(i) * m.c.Lease / 8
-		m.do(Action{Kind: Send, To: to, Msg: x})
+// handOver offers a duty to the first schedulers of its standby order, each with a delay one step
+// longer than that of the one before. The first may have died or paused without this scheduler knowing
+// it yet; without the delayed offers the rest would wait for the lease to end.
+func (m *Machine) handOver(duty int) {
+	claim := &m.claims[duty]
+	msg := Msg{Kind: Handover, Duty: claim.id, RunID: m.config.Life, Number: claim.number, Note: claim.note}
+	for i, to := range m.successors(duty) {
+		msg.Remaining = float64(i) * m.config.Lease / 8
+		m.emit(Action{Kind: Send, To: to, Msg: msg})
 	}
-	b.quits--
-	m.due.set(d, m.now+m.beat())
+	claim.handoversLeft--
+	m.timers.set(duty, m.now+m.resendInterval())
 }
 
-// handed takes a duty that its holder hands on: who stands first asks for it at once, like for any other;
-// the next ones look a step later whether it is still free.
-func (m *Machine) handed(d, from int, x *Msg) {
-	b := &m.bids[d]
-	again := b.from == from && b.fromNo == x.Number
-	if m.leaving || b.phase == holding || x.Number < b.held || b.phase != idle && (again || x.Left > 0) || again && x.Left > 0 {
+// onHandover handles a handover offer from the holder. The first successor requests the duty
+// immediately, in the usual way. Those with a delay check after it whether the duty is still free.
+func (m *Machine) onHandover(duty, from int, msg *Msg) {
+	claim := &m.claims[duty]
+	repeated := claim.handedBy == from && claim.handedNumber == msg.Number
+	if m.leaving || claim.phase == holding || msg.Number < claim.newestHeld || claim.phase != idle && (repeated || msg.Remaining > 0) || repeated && msg.Remaining > 0 {
 		return
 	}
-	b.seen, b.note, b.hurry, b.from, b.fromNo, b.losses = max(b.seen, x.Number), x.Note, hurries, from, x.Number, 0
-	b.known, b.knownTo = -1, 0
-	if x.Left > 0 {
-		b.phase = idle
-		m.due.set(d, m.now+x.Left)
+	claim.newestSeen, claim.note, claim.quickRetries, claim.handedBy, claim.handedNumber, claim.losses = max(claim.newestSeen, msg.Number), msg.Note, maxQuickRetries, from, msg.Number, 0
+	claim.holder, claim.holderUntil = -1, 0
+	if msg.Remaining > 0 {
+		claim.phase = idle
+		m.timers.set(duty, m.now+msg.Remaining)
 		return
 	}
-	b.number = m.next(b)
-	m.begin(d, asking)
+	claim.number = m.nextNumber(claim)
+	m.startRound(duty, requesting)
 }
 
-// act tells all the living who holds the duty: they need not ask, and know the number below which they
-// take nothing.
-func (m *Machine) act(d int) {
-	b := &m.bids[d]
-	b.actAt = m.now
-	x := Msg{Kind: Act, Duty: b.id, Life: m.c.Life, Number: b.number, Left: b.until - m.now}
+// announce sends all live schedulers the holder of the duty and its number. They then need not query
+// the voters, and refuse acts under lower numbers.
+func (m *Machine) announce(duty int) {
+	claim := &m.claims[duty]
+	claim.announcedAt = m.now
+	msg := Msg{Kind: Announce, Duty: claim.id, RunID: m.config.Life, Number: claim.number, Remaining: claim.until - m.now}
 	for who, yes := range m.alive {
-		if yes && who != m.c.Self {
-			m.send(who, x)
+		if yes && who != m.config.Self {
+			m.send(who, msg)
 		}
 	}
 }
 
-// acted takes what a holder did, unless somebody was heard to act under a newer number: then it comes late, or
-// from one that stood still. A newer number that was only asked for proves nothing: a few voters may have
-// granted it to one who never held, and what the holder does must not be refused for that.
-func (m *Machine) acted(d, from int, x *Msg) {
-	b := &m.bids[d]
-	if x.Number < b.held && !m.c.Unsafe.NoFence {
-		m.do(Action{Kind: Refused, Duty: d, To: from, Number: x.Number})
+// onAnnounce accepts an act of a holder, unless an act under a newer number is known: then the message
+// is late, or its sender was paused. A newer number that was only requested proves nothing: a few
+// voters may have granted it to a scheduler that never held the duty, and the holder's acts must not
+// be refused for that.
+func (m *Machine) onAnnounce(duty, from int, msg *Msg) {
+	claim := &m.claims[duty]
+	if msg.Number < claim.newestHeld && !m.config.Unsafe.NoFence {
+		m.emit(Action{Kind: ActRefused, Duty: duty, To: from, Number: msg.Number})
 		return
 	}
-	m.do(Action{Kind: Took, Duty: d, To: from, Number: x.Number})
-	b.held = max(b.held, x.Number)
-	m.know(d, from, x.Number, m.now+x.Left)
+	m.emit(Action{Kind: ActAccepted, Duty: duty, To: from, Number: msg.Number})
+	claim.newestHeld = max(claim.newestHeld, msg.Number)
+	m.recordHolder(duty, from, msg.Number, m.now+msg.Remaining)
 }
 
-// learn takes a voter's word of who holds a duty, for as long as nobody better is known: what it granted may
-// be too little to hold it.
-func (m *Machine) learn(d, who int, number uint64, until float64) {
-	b := &m.bids[d]
-	b.seen = max(b.seen, number)
-	if number < b.held || b.knownNo == b.held && number > b.held && m.now < b.knownTo || number < b.knownNo && m.now < b.knownTo {
+// learnHolder records a holder reported by a voter, unless a better source is known. A voter's grant
+// alone may not be a majority.
+func (m *Machine) learnHolder(duty, who int, number uint64, until float64) {
+	claim := &m.claims[duty]
+	claim.newestSeen = max(claim.newestSeen, number)
+	if number < claim.newestHeld || claim.holderNumber == claim.newestHeld && number > claim.newestHeld && m.now < claim.holderUntil || number < claim.holderNumber && m.now < claim.holderUntil {
 		return
 	}
-	m.know(d, who, number, until)
+	m.recordHolder(duty, who, number, until)
 }
 
-// know notes who holds a duty.
-func (m *Machine) know(d, who int, number uint64, until float64) {
-	b := &m.bids[d]
-	if who != b.known || number != b.knownNo {
-		m.do(Action{Kind: Learnt, Duty: d, To: who, Number: number})
+// recordHolder records the holder of a duty.
+func (m *Machine) recordHolder(duty, who int, number uint64, until float64) {
+	claim := &m.claims[duty]
+	if who != claim.holder || number != claim.holderNumber {
+		m.emit(Action{Kind: HolderChanged, Duty: duty, To: who, Number: number})
 	}
-	b.seen, b.known, b.knownNo, b.knownTo = max(b.seen, number), who, number, until
+	claim.newestSeen, claim.holder, claim.holderNumber, claim.holderUntil = max(claim.newestSeen, number), who, number, until
 }
 
-// living takes in who is taken for living: who stands before this scheduler for a duty.
-func (m *Machine) living(alive []bool) {
+// setAlive updates the set of live members and with it this scheduler's rank for each duty.
+func (m *Machine) setAlive(alive []bool) {
 	if slices.Equal(m.alive, alive) {
 		return
 	}
 	copy(m.alive, alive)
-	for d := range m.bids {
-		b := &m.bids[d]
-		had := b.rank
-		b.rank = m.rankOf(d)
-		if b.rank < had && b.phase == idle && !m.leaving {
-			m.due.set(d, max(m.now, b.knownTo)+m.standBy(d))
+	for duty := range m.claims {
+		claim := &m.claims[duty]
+		had := claim.rank
+		claim.rank = m.standbyRank(duty)
+		if claim.rank < had && claim.phase == idle && !m.leaving {
+			m.timers.set(duty, max(m.now, claim.holderUntil)+m.standbyDelay(duty))
 		}
 	}
 }
--- a/internal/fleet/lease/lease.go
+++ b/internal/fleet/lease/lease.go
@@ -1,16 +1,18 @@
-// Package lease gives each duty to one scheduler at a time, without a disk: a scheduler holds a
-// duty while a majority of a few voters has granted it, each for a stated time by its own clock.
-// docs/design/duties.md says why it is so, what is promised and in short why that holds.
+// Package lease assigns each duty to at most one scheduler at a time, without a disk. A scheduler
+// holds a duty while a majority of a few voters has granted it a lease; each voter measures the lease
+// by its own clock. docs/design/duties.md gives the reasons, the guarantees and a short proof.
 //
-// The promise: at no instant do two schedulers hold one duty, and the fencing number under which
-// it is held never goes back. It rests on clocks that run at the same rate within Drift, never
-// step (the host's monotonic clock), and on voters that stay silent after a start for as long as
-// any grant from before may count. No message has to arrive, and each may come late, twice, or in
-// any order. Whoever holds has to ask Holds at the moment of acting, as a process may stand still
-// at any line, and whoever is acted upon has to refuse numbers lower than one seen (Fence).
+// The guarantee: at no instant do two schedulers hold one duty, and the fencing number under which it
+// is held never decreases. This requires clocks that run at the same rate within Drift and never step
+// (the host's monotonic clock), and voters that grant nothing after a start for as long as a grant
+// from before the start may be valid. No message has to arrive, and each message may arrive late,
+// twice or out of order. A holder must call Holds at the moment it acts, because a process may pause
+// at any line. The receiver of an act must refuse numbers lower than one it has seen (Fence).
 //
-// It is a state machine without I/O: events in, actions out; it reads no clock, starts no goroutine
-// and keeps no global state. Times are milliseconds on the host's clock.
+// The Machine is given events (received messages, timers, the live members) and returns actions
+// (messages to send, duties gained and lost). It performs no I/O, reads no clock, starts no goroutine,
+// keeps no global state and does not carry out the duties themselves. Times are in milliseconds on the
+// host's clock.
 package lease
 
 import (
@@ -22,377 +24,381 @@
 	"slices"
 )
 
-// Bounds. What is beyond them is refused by New, so that nothing grows while the program runs.
+// Limits on the configuration. New refuses larger values, so that no state grows at run time.
 const (
 	MaxVoters = 15
 	MaxDuties = 1024
 	MaxFleet  = 4096
-	// MaxNote is the length of what a holder leaves to its successor, in bytes.
-	MaxNote = 128
+	// MaxNoteBytes is the maximum length of the note that a holder passes to its successor.
+	MaxNoteBytes = 128
 )
 
-// Duty is something that one scheduler at a time may do.
+// Duty is a task that at most one scheduler at a time may perform.
 type Duty struct {
 	Name string
-	Zone string // where it matters: its schedulers come first; empty: everywhere
+	Zone string // optional: schedulers of this zone are preferred as holders
 }
 
-// Config sets a machine up.
+// Config configures a Machine.
 type Config struct {
 	Self, Fleet int
-	Zones       []string // of each scheduler, as far as known; may be nil
-	Voters      int      // the schedulers numbered below this vote; the same everywhere
-	Life        uint32   // drawn at each start: what an earlier run of this name did is not ours
-	Lease       float64  // ms that a grant lasts by its voter's clock
-	Quiet       float64  // ms after a start in which a voter grants nothing: the longest lease in use
-	Drift       float64  // share by which clocks may run too fast or too slow
+	Zones       []string // zone of each scheduler, as far as known; may be nil
+	Voters      int      // the schedulers numbered below this vote; must be the same on every scheduler
+	Life        uint32   // random number of this run; separates messages of this run from those of an earlier run of this scheduler
+	Lease       float64  // duration of a grant in ms, by the voter's clock
+	Quiet       float64  // ms after a start in which a voter grants nothing; at least the longest lease in use
+	Drift       float64  // maximum relative clock rate error, fast or slow
 	Seed        uint64
 	Duties      []Duty
 
-	// For tests that see whether checkers find what they are to find; off in service.
+	// Unsafe disables safety measures, so that tests can verify that the checkers detect the
+	// violations. It is zero in production.
 	Unsafe Unsafe
 }
 
-// Unsafe leaves out what the promise rests on.
+// Unsafe disables single measures on which the guarantee rests.
 type Unsafe struct {
-	NoQuiet  bool // vote at once after a start
-	NoExpiry bool // go on believing what was believed last, without a look at the clock
-	NoFence  bool // take acts under any number
+	NoQuiet  bool // grant leases immediately after a start
+	NoExpiry bool // treat a held duty as held after its lease has expired
+	NoFence  bool // accept acts under any number
 }
 
-// Default is what an operator's file leaves out.
+// Default returns the values of settings that the operator's file omits.
 func Default() Config {
 	return Config{Voters: 5, Lease: 2000, Quiet: 2500, Drift: 0.01}
 }
 
-// Check returns an error that names the setting that is impossible.
+// Check returns an error that names the first invalid setting.
 func (c *Config) Check() error {
 	switch {
 	case c.Fleet < 1 || c.Fleet > MaxFleet || c.Self < 0 || c.Self >= c.Fleet:
-		return fmt.Errorf("lease: scheduler %d of %d, and may be one of up to %d", c.Self, c.Fleet, MaxFleet)
+		return fmt.Errorf("lease: scheduler %d of %d is out of range; a fleet has up to %d schedulers", c.Self, c.Fleet, MaxFleet)
 	case c.Voters < 1 || c.Voters > min(MaxVoters, c.Fleet):
-		return fmt.Errorf("lease: voters is %d, and may be 1 to %d", c.Voters, min(MaxVoters, c.Fleet))
+		return fmt.Errorf("lease: voters is %d; it must be 1 to %d", c.Voters, min(MaxVoters, c.Fleet))
 	case !(c.Lease >= 200 && c.Lease <= 60_000):
-		return fmt.Errorf("lease: lease is %gms, and may be 200ms to 1m", c.Lease)
+		return fmt.Errorf("lease: lease is %gms; it must be 200ms to 1m", c.Lease)
 	case !(c.Quiet >= c.Lease && c.Quiet <= 120_000):
-		return fmt.Errorf("lease: quiet is %gms, and may be from the lease (%gms) to 2m", c.Quiet, c.Lease)
+		return fmt.Errorf("lease: quiet is %gms; it must be from the lease (%gms) to 2m", c.Quiet, c.Lease)
 	case !(c.Drift >= 0 && c.Drift <= 0.1):
-		return fmt.Errorf("lease: drift is %g, and may be 0 to 0.1", c.Drift)
+		return fmt.Errorf("lease: drift is %g; it must be 0 to 0.1", c.Drift)
 	case len(c.Duties) > MaxDuties:
-		return fmt.Errorf("lease: %d duties, and may be %d", len(c.Duties), MaxDuties)
+		return fmt.Errorf("lease: %d duties configured; at most %d are allowed", len(c.Duties), MaxDuties)
 	case c.Zones != nil && len(c.Zones) != c.Fleet:
-		return fmt.Errorf("lease: %d zones of %d schedulers", len(c.Zones), c.Fleet)
+		return fmt.Errorf("lease: %d zones configured for %d schedulers", len(c.Zones), c.Fleet)
 	}
 	ids := map[uint32]string{}
 	for _, d := range c.Duties {
 		if other, twice := ids[ID(d.Name)]; twice || d.Name == "" {
-			return fmt.Errorf("lease: duty %q has no name, or one like %q", d.Name, other)
+			return fmt.Errorf("lease: duty %q has no name, or its ID equals that of %q", d.Name, other)
 		}
 		ids[ID(d.Name)] = d.Name
 	}
 	return nil
 }
 
-// ID is what messages call a duty.
+// ID returns the hash of a duty's name that identifies the duty in messages.
 func ID(name string) uint32 {
 	h := fnv.New32a()
 	h.Write([]byte(name))
 	return h.Sum32()
 }
 
-// EventKind tells events apart.
+// EventKind is the kind of an Event.
 type EventKind int
 
 // The kinds of events.
 const (
-	Due    EventKind = iota // the time asked for has come
-	Heard                   // a message: From, Msg
-	Living                  // who is taken for living: Alive, by number
-	Resign                  // this scheduler is to end: all its duties go to others, and none comes back
+	Due             EventKind = iota // the requested wake-up time is reached
+	MessageReceived                  // a message was received: From, Msg
+	MembersChanged                   // the set of live members: Alive, by scheduler number
+	Resign                           // this scheduler shuts down: it hands over its duties and claims none again
 )
 
-// Event is one thing that happened. Which fields count depends on Kind.
+// Event is one input to the Machine. Kind determines which fields are used.
 type Event struct {
 	Kind  EventKind
-	Wall  float64 // ms of the wall clock; only numbers after a loss of memory rest on it
+	Wall  float64 // ms of the wall clock; used only to choose fencing numbers after all memory of earlier ones is lost
 	From  int
 	Msg   Msg
 	Alive []bool
 }
 
-// ActionKind tells actions apart.
+// ActionKind is the kind of an Action.
 type ActionKind int
 
 // The kinds of actions.
 const (
-	Send    ActionKind = iota // a message: To, Msg
-	Wake                      // ask for Due at At; a later one replaces it
-	Gained                    // a duty is held from now on: Duty, Number, Note of the one before
-	Lost                      // it is held no more: Duty, Number, Reason
-	Took                      // an act of To under Number was taken
-	Refused                   // and one was not, as a newer number has been heard of
-	Learnt                    // who holds a duty, by a voter's word or its own: Duty, Number, To
+	Send          ActionKind = iota // send a message: To, Msg
+	Wake                            // deliver Due at At; replaces an earlier wake-up
+	Gained                          // this scheduler holds a duty from now on: Duty, Number, Note from the previous holder
+	Lost                            // this scheduler no longer holds a duty: Duty, Number, Reason
+	ActAccepted                     // an act of To under Number was accepted
+	ActRefused                      // an act of To under Number was refused, because an act under a newer number is known
+	HolderChanged                   // the known holder of a duty changed, as reported by a voter or by the holder: Duty, Number, To
 )
 
-// Action is one thing that the host must do, in order.
+// Action is one output of the Machine. The host carries out actions in order.
 type Action struct {
 	Kind   ActionKind
 	To     int
 	Msg    Msg
 	At     float64
-	Duty   int // its place in the configuration
+	Duty   int // index in Config.Duties
 	Number uint64
 	Reason string
 	Note   string
 }
 
-// Machine votes, and holds duties or stands by for them.
+// Machine votes on leases, claims duties and holds them. Create it with New.
 type Machine struct {
-	c       Config
-	rng     *rand.Rand
-	now     float64 // of the latest event; it never goes back
-	wall    float64
-	quietTo float64
-	votes   []vote // by duty, if this scheduler votes
-	bids    []bid  // by duty
-	byID    map[uint32]int
-	alive   []bool
-	leaving bool
-	wakeAt  float64
-	due     timers
-	own     []Msg
-	acts    []Action
+	config     Config
+	rng        *rand.Rand
+	now        float64      // time of the latest event, ms; never decreases
+	wall       float64      // latest wall clock time, ms
+	quietUntil float64      // a voter grants nothing before this time, ms
+	votes      []vote       // by duty; nil unless this scheduler is a voter
+	claims     []claimState // by duty
+	dutyByID   map[uint32]int
+	alive      []bool
+	leaving    bool
+	wakeAt     float64
+	timers     timerHeap
+	loopback   []Msg // messages from this scheduler to itself
+	actions    []Action
 
 	Counts Counts
 }
 
-// Counts tell what happened, for the log and for tests.
+// Counts holds event counters for logs and tests.
 type Counts struct {
-	Granted, Refused, Gained, Lost, Foreign int
+	Granted, Refused, Gained, Lost, Ignored int
 }
 
-// New returns a machine that has just begun. Its first event should come at once.
-func New(c Config, now float64) (*Machine, error) {
-	if err := c.Check(); err != nil {
+// New returns a newly started machine. Its first event should be passed to Step immediately.
+func New(config Config, now float64) (*Machine, error) {
+	if err := config.Check(); err != nil {
 		return nil, err
 	}
-	m := &Machine{c: c, rng: rand.New(rand.NewPCG(c.Seed, uint64(c.Self)<<32|uint64(c.Life))), now: now, quietTo: now + c.Quiet,
-		bids: make([]bid, len(c.Duties)), byID: map[uint32]int{}, alive: make([]bool, c.Fleet), wakeAt: math.Inf(1)}
-	if c.Unsafe.NoQuiet {
-		m.quietTo = now
+	m := &Machine{config: config, rng: rand.New(rand.NewPCG(config.Seed, uint64(config.Self)<<32|uint64(config.Life))), now: now, quietUntil: now + config.Quiet,
+		claims: make([]claimState, len(config.Duties)), dutyByID: map[uint32]int{}, alive: make([]bool, config.Fleet), wakeAt: math.Inf(1)}
+	if config.Unsafe.NoQuiet {
+		m.quietUntil = now
 	}
-	if m.votesHere() {
-		m.votes = make([]vote, len(c.Duties))
+	if m.isVoter() {
+		m.votes = make([]vote, len(config.Duties))
 	}
 	for i := range m.alive {
 		m.alive[i] = true
 	}
-	m.due.at = make([]int, len(c.Duties))
-	for i, d := range c.Duties {
-		m.byID[ID(d.Name)] = i
-		m.bids[i] = bid{id: ID(d.Name), known: -1, from: -1}
-		m.bids[i].rank = m.rankOf(i)
-		m.due.at[i] = -1
-		m.due.set(i, now+m.standBy(i))
+	m.timers.index = make([]int, len(config.Duties))
+	for i, d := range config.Duties {
+		m.dutyByID[ID(d.Name)] = i
+		m.claims[i] = claimState{id: ID(d.Name), holder: -1, handedBy: -1}
+		m.claims[i].rank = m.standbyRank(i)
+		m.timers.index[i] = -1
+		m.timers.set(i, now+m.standbyDelay(i))
 	}
 	return m, nil
 }
 
-func (m *Machine) votesHere() bool { return m.c.Self < m.c.Voters }
+func (m *Machine) isVoter() bool { return m.config.Self < m.config.Voters }
 
-// majority is how many voters it takes.
-func (m *Machine) majority() int { return m.c.Voters/2 + 1 }
+// majority returns the number of voters that form a majority.
+func (m *Machine) majority() int { return m.config.Voters/2 + 1 }
 
-// hold is how long a duty is held by a grant, from when it was asked for: by the fastest clock that
-// ends before it does by the slowest.
-func (m *Machine) hold() float64 { return m.c.Lease * (1 - m.c.Drift) / (1 + m.c.Drift) }
+// holdTime returns how long a granted duty is held, in ms from the request. By the fastest clock this
+// ends before the voter's lease ends by the slowest clock.
+func (m *Machine) holdTime() float64 {
+	return m.config.Lease * (1 - m.config.Drift) / (1 + m.config.Drift)
+}
 
-// Step takes one event at the given time and appends the actions that answer it. A time before
-// that of an earlier event is taken for that one's.
+// Step processes one event at the given time and appends the resulting actions to acts. A time before
+// that of an earlier event is replaced by the earlier event's time.
 func (m *Machine) Step(now float64, ev *Event, acts []Action) []Action {
-	m.acts = acts
+	m.actions = acts
 	m.now, m.wall = max(m.now, now), max(m.wall, ev.Wall)
 	switch ev.Kind {
-	case Heard:
-		m.heard(ev.From, &ev.Msg)
-	case Living:
-		m.living(ev.Alive)
+	case MessageReceived:
+		m.receive(ev.From, &ev.Msg)
+	case MembersChanged:
+		m.setAlive(ev.Alive)
 	case Resign:
 		m.resign()
 	}
 	for {
-		if len(m.own) > 0 { // what this scheduler says to itself needs no network
-			msg := m.own[0]
-			m.own = m.own[1:]
-			m.heard(m.c.Self, &msg)
+		if len(m.loopback) > 0 { // messages to itself bypass the network
+			msg := m.loopback[0]
+			m.loopback = m.loopback[1:]
+			m.receive(m.config.Self, &msg)
 			continue
 		}
-		d, at := m.due.first()
+		d, at := m.timers.first()
 		if d < 0 || at > m.now {
 			if at < m.wakeAt || m.wakeAt <= m.now && !math.IsInf(at, 1) {
 				m.wakeAt = at
-				m.do(Action{Kind: Wake, At: at})
+				m.emit(Action{Kind: Wake, At: at})
 			}
 			break
 		}
-		m.due.set(d, math.Inf(1))
-		m.turn(d)
+		m.timers.set(d, math.Inf(1))
+		m.onTimer(d)
 	}
-	acts, m.acts = m.acts, nil
+	acts, m.actions = m.actions, nil
 	return acts
 }
 
-func (m *Machine) do(a Action) { m.acts = append(m.acts, a) }
+func (m *Machine) emit(a Action) { m.actions = append(m.actions, a) }
 
-func (m *Machine) send(to int, x Msg) {
-	if to == m.c.Self {
-		m.own = append(m.own, x)
+func (m *Machine) send(to int, msg Msg) {
+	if to == m.config.Self {
+		m.loopback = append(m.loopback, msg)
 		return
 	}
-	m.do(Action{Kind: Send, To: to, Msg: x})
+	m.emit(Action{Kind: Send, To: to, Msg: msg})
 }
 
-// heard takes a message in. Whatever is not for this scheduler, or of a duty that it does not know,
-// is counted and passed over.
-func (m *Machine) heard(from int, x *Msg) {
-	d, known := m.byID[x.Duty]
-	if !known || from < 0 || from >= m.c.Fleet {
-		m.Counts.Foreign++
+// receive processes a message. Messages that are not meant for this scheduler, or concern an unknown
+// duty, are counted and ignored.
+func (m *Machine) receive(from int, msg *Msg) {
+	duty, known := m.dutyByID[msg.Duty]
+	if !known || from < 0 || from >= m.config.Fleet {
+		m.Counts.Ignored++
 		return
 	}
-	switch x.Kind {
-	case Peek, Ask, GiveUp:
-		if !m.votesHere() {
-			m.Counts.Foreign++
+	switch msg.Kind {
+	case Query, Request, Release:
+		if !m.isVoter() {
+			m.Counts.Ignored++
 			return
 		}
-		m.asked(d, from, x)
-	case Free, Grant, Held, Stale, Hush:
-		if from >= m.c.Voters {
-			m.Counts.Foreign++
+		m.onVoterRequest(duty, from, msg)
+	case Free, Grant, Held, Stale, Quiet:
+		if from >= m.config.Voters {
+			m.Counts.Ignored++
 			return
 		}
-		m.answered(d, from, x)
-	case HandOn:
-		m.handed(d, from, x)
-	case Act:
-		m.acted(d, from, x)
+		m.onVoterResponse(duty, from, msg)
+	case Handover:
+		m.onHandover(duty, from, msg)
+	case Announce:
+		m.onAnnounce(duty, from, msg)
 	default:
-		m.Counts.Foreign++
+		m.Counts.Ignored++
 	}
 }
 
-// Holds says under which number this scheduler holds a duty at the given time. It is to be asked at
-// the moment of acting, with a time read then.
+// Holds returns the fencing number under which this scheduler holds a duty at the given time. Call it
+// at the moment of acting, with a time read then.
 func (m *Machine) Holds(duty int, now float64) (number uint64, ok bool) {
-	b := &m.bids[duty]
-	if b.phase != holding || now >= b.until && !m.c.Unsafe.NoExpiry {
+	claim := &m.claims[duty]
+	if claim.phase != holding || now >= claim.until && !m.config.Unsafe.NoExpiry {
 		return 0, false
 	}
-	return b.number, true
+	return claim.number, true
 }
 
-// Until is when this scheduler ceases to hold a duty unless it is granted anew.
-func (m *Machine) Until(duty int) float64 { return m.bids[duty].until }
+// HeldUntil returns when this scheduler's hold on a duty ends unless its lease is renewed.
+func (m *Machine) HeldUntil(duty int) float64 { return m.claims[duty].until }
 
-// Holder is who holds a duty as far as this scheduler knows, under which number, and until when that may be so
-// at the latest; -1 where it knows of nobody.
+// Holder returns the holder of a duty as far as this scheduler knows, its fencing number, and the
+// latest time until which it may hold the duty. who is -1 if no holder is known.
 func (m *Machine) Holder(duty int, now float64) (who int, number uint64, until float64) {
-	b := &m.bids[duty]
+	claim := &m.claims[duty]
 	if n, ok := m.Holds(duty, now); ok {
-		return m.c.Self, n, b.until
+		return m.config.Self, n, claim.until
 	}
-	if b.known < 0 || now >= b.knownTo {
-		return -1, b.held, 0
+	if claim.holder < 0 || now >= claim.holderUntil {
+		return -1, claim.newestHeld, 0
 	}
-	return b.known, b.knownNo, b.knownTo
+	return claim.holder, claim.holderNumber, claim.holderUntil
 }
 
-// Newest is the newest number of a duty under which anybody was heard to act.
-func (m *Machine) Newest(duty int) uint64 { return m.bids[duty].held }
+// NewestNumber returns the newest fencing number of a duty under which any scheduler is known to have
+// acted.
+func (m *Machine) NewestNumber(duty int) uint64 { return m.claims[duty].newestHeld }
 
-// Leave says what the successor in a duty needs to know; it is sent along when the duty is handed on.
-func (m *Machine) Leave(duty int, note string) {
-	m.bids[duty].note = note[:min(len(note), MaxNote)]
+// SetHandoverNote sets the note that is sent to the successor when a duty is handed over.
+func (m *Machine) SetHandoverNote(duty int, note string) {
+	m.claims[duty].note = note[:min(len(note), MaxNoteBytes)]
 }
 
-// key orders the schedulers for a duty: those of its zone first, then as a hash says, so that duties
-// are spread.
-func (m *Machine) key(duty, who int) uint64 {
-	d := &m.c.Duties[duty]
-	x := uint64(m.bids[duty].id)<<32 | uint64(who)
+// standbyKey orders the schedulers by preference for a duty: those of its zone first, then by a hash
+// that spreads the duties over the schedulers.
+func (m *Machine) standbyKey(duty, who int) uint64 {
+	d := &m.config.Duties[duty]
+	x := uint64(m.claims[duty].id)<<32 | uint64(who)
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
 	x ^= x >> 33
 	x *= 0xc4ceb9fe1a85ec53
 	x = (x ^ x>>33) >> 1
-	if d.Zone != "" && m.c.Zones != nil && m.c.Zones[who] != d.Zone {
+	if d.Zone != "" && m.config.Zones != nil && m.config.Zones[who] != d.Zone {
 		x |= 1 << 63
 	}
 	return x
 }
 
-// rankOf is this scheduler's place in the order in which the living stand by for a duty.
-func (m *Machine) rankOf(duty int) (rank int) {
-	own := m.key(duty, m.c.Self)
+// standbyRank returns this scheduler's position in the standby order of the live members for a duty.
+func (m *Machine) standbyRank(duty int) (rank int) {
+	own := m.standbyKey(duty, m.config.Self)
 	for who, yes := range m.alive {
-		if yes && who != m.c.Self && m.key(duty, who) < own {
+		if yes && who != m.config.Self && m.standbyKey(duty, who) < own {
 			rank++
 		}
 	}
 	return rank
 }
 
-// heirs are the living schedulers that stand first for a duty beside this one, in their order.
-func (m *Machine) heirs(duty int) (to []int) {
+// successors returns the first closeStandbys other live schedulers in a duty's standby order.
+func (m *Machine) successors(duty int) (to []int) {
 	for who, yes := range m.alive {
-		if !yes || who == m.c.Self {
+		if !yes || who == m.config.Self {
 			continue
 		}
-		i, _ := slices.BinarySearchFunc(to, who, func(x, y int) int { return cmp.Compare(m.key(duty, x), m.key(duty, y)) })
-		if to = slices.Insert(to, i, who); len(to) > crowd {
-			to = to[:crowd]
+		i, _ := slices.BinarySearchFunc(to, who, func(x, y int) int { return cmp.Compare(m.standbyKey(duty, x), m.standbyKey(duty, y)) })
+		if to = slices.Insert(to, i, who); len(to) > closeStandbys {
+			to = to[:closeStandbys]
 		}
 	}
 	return to
 }
 
-// timers is a heap of what is due, by duty.
-type timers struct {
-	heap []due
-	at   []int // place in the heap, by duty; -1: none
+// timerHeap is a min-heap of one timer per duty.
+type timerHeap struct {
+	heap  []timer
+	index []int // position in the heap, by duty; -1: no timer
 }
 
-type due struct {
+type timer struct {
 	duty int
 	at   float64
 }
 
-func (t *timers) first() (duty int, at float64) {
+func (t *timerHeap) first() (duty int, at float64) {
 	if len(t.heap) == 0 {
 		return -1, math.Inf(1)
 	}
 	return t.heap[0].duty, t.heap[0].at
 }
 
-// set moves a duty's time; an infinite one takes it out.
-func (t *timers) set(duty int, at float64) {
-	i := t.at[duty]
+// set changes the time of a duty's timer. An infinite time removes the timer.
+func (t *timerHeap) set(duty int, at float64) {
+	i := t.index[duty]
 	switch {
 	case i < 0 && math.IsInf(at, 1):
 		return
 	case i < 0:
 		i = len(t.heap)
-		t.heap = append(t.heap, due{duty, at})
+		t.heap = append(t.heap, timer{duty, at})
 	default:
 		t.heap[i].at = at
 	}
-	t.at[duty] = i
+	t.index[duty] = i
 	if math.IsInf(at, 1) {
 		last := len(t.heap) - 1
 		t.swap(i, last)
 		t.heap = t.heap[:last]
-		t.at[duty] = -1
+		t.index[duty] = -1
 		if i == last {
 			return
 		}
@@ -416,17 +422,17 @@
 	}
 }
 
-func (t *timers) swap(i, j int) {
+func (t *timerHeap) swap(i, j int) {
 	t.heap[i], t.heap[j] = t.heap[j], t.heap[i]
-	t.at[t.heap[i].duty], t.at[t.heap[j].duty] = i, j
+	t.index[t.heap[i].duty], t.index[t.heap[j].duty] = i, j
 }
 
-// Fence is the guard of whoever is acted upon: it refuses what comes under an older number than one
-// that it has seen.
+// Fence is used by the receiver of acts: it refuses an act whose number is older than one already
+// accepted.
 type Fence struct{ newest uint64 }
 
-// Take says whether an act under a number may be taken.
-func (f *Fence) Take(number uint64) bool {
+// Accept reports whether an act under a number may be accepted, and records the number if so.
+func (f *Fence) Accept(number uint64) bool {
 	if number < f.newest {
 		return false
 	}
--- a/internal/fleet/lease/msg.go
+++ b/internal/fleet/lease/msg.go
@@ -6,67 +6,69 @@
 	"cottonwell/internal/fleet/frame"
 )
 
-// MsgKind tells messages apart.
+// MsgKind is the kind of a message.
 type MsgKind byte
 
 // The kinds of messages.
 const (
-	Peek    MsgKind = 1 + iota // to a voter: who holds it? Nothing is granted
-	Free                       // a voter's word: nobody, as far as I know; Number is the newest
-	Ask                        // to a voter: grant it under Number, for Seq
-	Grant                      // a voter's word: granted, under Number, for Seq
-	Held                       // a voter's word: Who holds it under Number, for Left more
-	Stale                      // a voter's word: Number has been there already
-	Hush                       // a voter's word: I have just begun; ask again after Left
-	GiveUp                     // to a voter: the grant for Seq and what was before counts no more
-	HandOn                     // to the next holder: it is yours if you ask; Note is what you need
-	Act                        // to all the living: I hold it, for Left more; what is done under Number comes like this
-	lastMsg = Act
+	Query    MsgKind = 1 + iota // to a voter: request the current holder; grants nothing
+	Free                        // from a voter: no holder is known; Number is the newest known
+	Request                     // to a voter: request a grant under Number, for Seq
+	Grant                       // from a voter: granted under Number, for Seq
+	Held                        // from a voter: Holder holds the duty under Number for Remaining
+	Stale                       // from a voter: refused, because Number was already used
+	Quiet                       // from a voter: recently started, grants nothing for Remaining
+	Release                     // to a voter: the grants for Seq and before are void
+	Handover                    // to a successor: the duty is free to request after Remaining; Note is from the holder
+	Announce                    // to all live members: the sender holds the duty for Remaining; acts under Number are sent in this form
+	lastKind = Announce
 )
 
-// Msg is what schedulers say of one duty.
+// Msg is a message between schedulers about one duty.
 type Msg struct {
-	Kind   MsgKind
-	Duty   uint32 // its ID
-	Life   uint32 // of the scheduler that asks
-	Seq    uint32 // of its asking
-	Number uint64
-	Who    int
-	Left   float64 // ms, in steps of two
-	Note   string
+	Kind      MsgKind
+	Duty      uint32 // its ID
+	RunID     uint32 // the requester's Config.Life
+	Seq       uint32 // the requester's sequence number
+	Number    uint64
+	Holder    int
+	Remaining float64 // ms, encoded in steps of 2 ms
+	Note      string
 }
 
-// Version is the first byte of a datagram that holds such a message.
+// Version is the first byte of a datagram with a lease message.
 const Version = 0x51
 
-const fixed = 1 + 4 + 4 + 4 + 8 + 2 + 2
+// fixedSize is the size of an encoded message without Note, in bytes.
+const fixedSize = 1 + 4 + 4 + 4 + 8 + 2 + 2
 
-// Append writes a message as a datagram. Digest is of what must be the same at both ends.
+// Append encodes a message as a datagram and appends it to raw. digest is the hash of the
+// configuration that must be equal on both ends.
 func (x *Msg) Append(raw []byte, digest uint32) []byte {
 	raw = append(frame.Begin(raw, Version, digest), byte(x.Kind))
 	raw = binary.LittleEndian.AppendUint32(raw, x.Duty)
-	raw = binary.LittleEndian.AppendUint32(raw, x.Life)
+	raw = binary.LittleEndian.AppendUint32(raw, x.RunID)
 	raw = binary.LittleEndian.AppendUint32(raw, x.Seq)
 	raw = binary.LittleEndian.AppendUint64(raw, x.Number)
-	raw = binary.LittleEndian.AppendUint16(raw, uint16(x.Who))
-	raw = binary.LittleEndian.AppendUint16(raw, uint16(min(65535, max(0, x.Left/2+0.5))))
-	return frame.Seal(append(raw, x.Note[:min(len(x.Note), MaxNote)]...))
+	raw = binary.LittleEndian.AppendUint16(raw, uint16(x.Holder))
+	raw = binary.LittleEndian.AppendUint16(raw, uint16(min(65535, max(0, x.Remaining/2+0.5))))
+	return frame.Seal(append(raw, x.Note[:min(len(x.Note), MaxNoteBytes)]...))
 }
 
-// Parse reads a datagram.
+// Parse decodes a datagram.
 func (x *Msg) Parse(raw []byte, digest uint32) error {
 	b, err := frame.Open(raw, Version, digest)
 	if err != nil {
 		return err
 	}
-	if len(b) < fixed || len(b) > fixed+MaxNote || b[0] < byte(Peek) || b[0] > byte(lastMsg) {
+	if len(b) < fixedSize || len(b) > fixedSize+MaxNoteBytes || b[0] < byte(Query) || b[0] > byte(lastKind) {
 		return frame.ErrForm
 	}
-	*x = Msg{Kind: MsgKind(b[0]), Duty: binary.LittleEndian.Uint32(b[1:]), Life: binary.LittleEndian.Uint32(b[5:]),
-		Seq: binary.LittleEndian.Uint32(b[9:]), Number: binary.LittleEndian.Uint64(b[13:]), Who: int(binary.LittleEndian.Uint16(b[21:])),
-		Left: 2 * float64(binary.LittleEndian.Uint16(b[23:]))}
-	if len(b) > fixed {
-		x.Note = string(b[fixed:])
+	*x = Msg{Kind: MsgKind(b[0]), Duty: binary.LittleEndian.Uint32(b[1:]), RunID: binary.LittleEndian.Uint32(b[5:]),
+		Seq: binary.LittleEndian.Uint32(b[9:]), Number: binary.LittleEndian.Uint64(b[13:]), Holder: int(binary.LittleEndian.Uint16(b[21:])),
+		Remaining: 2 * float64(binary.LittleEndian.Uint16(b[23:]))}
+	if len(b) > fixedSize {
+		x.Note = string(b[fixedSize:])
 	}
 	return nil
 }
--- a/internal/fleet/lease/voter.go
+++ b/internal/fleet/lease/voter.go
@@ -1,56 +1,57 @@
 package lease
 
-// vote is what a voter keeps of one duty. After a start it knows nothing, and says nothing until
-// whatever it may have granted before counts no more.
+// vote is a voter's state of one duty. After a start it is empty, so the voter grants nothing until
+// every grant from before the start has expired.
 type vote struct {
-	number  uint64 // the newest that it granted
-	to      int    // to whom it is granted, until
-	life    uint32
-	seq     uint32
-	until   float64
-	quitBy  int // who gave up last, and up to which asking: an older one may still be on its way
-	quitIn  uint32
-	quitSeq uint32
+	number      uint64  // newest number granted
+	holder      int     // scheduler that holds the grant
+	runID       uint32  // run of the holder
+	seq         uint32  // newest request of the holder that was granted
+	until       float64 // end of the grant
+	releasedBy  int     // scheduler that released last; its requests up to releasedSeq are refused, as one may still be in flight
+	releasedRun uint32  // run of releasedBy
+	releasedSeq uint32
 }
 
-// asked answers as a voter. At any instant one scheduler has its grant; a further one is given only
-// under a number that is newer than all before. A grant counts from when it was asked for, at the
-// scheduler that asked, and here from when the asking came, so that it ends there first.
-func (m *Machine) asked(d, from int, x *Msg) {
-	v := &m.votes[d]
-	answer := Msg{Duty: x.Duty, Life: x.Life, Seq: x.Seq, Number: v.number, Who: v.to}
-	mine := v.to == from && v.life == x.Life
-	free := m.now >= v.until
+// onVoterRequest answers a request as a voter. At any instant at most one scheduler has this voter's
+// grant, and a further grant needs a number newer than all before. The requester measures a grant from
+// when it sent the request and the voter from when it received it, so the grant expires at the
+// requester first.
+func (m *Machine) onVoterRequest(duty, from int, msg *Msg) {
+	current := &m.votes[duty]
+	response := Msg{Duty: msg.Duty, RunID: msg.RunID, Seq: msg.Seq, Number: current.number, Holder: current.holder}
+	ownGrant := current.holder == from && current.runID == msg.RunID
+	free := m.now >= current.until
 	switch {
-	case x.Kind == GiveUp:
-		v.quitBy, v.quitIn, v.quitSeq = from, x.Life, x.Seq
-		if mine && x.Seq >= v.seq {
-			v.until = m.now
+	case msg.Kind == Release:
+		current.releasedBy, current.releasedRun, current.releasedSeq = from, msg.RunID, msg.Seq
+		if ownGrant && msg.Seq >= current.seq {
+			current.until = m.now
 		}
 		return
-	case m.now < m.quietTo:
-		answer.Kind, answer.Left = Hush, m.quietTo-m.now
-	case !free && !mine:
-		answer.Kind, answer.Left = Held, v.until-m.now
-	case x.Kind == Peek && free:
-		answer.Kind = Free
-	case x.Kind == Peek:
-		answer.Kind, answer.Left = Held, v.until-m.now
-	case x.Number < v.number || x.Number == v.number && !mine, v.quitBy == from && v.quitIn == x.Life && x.Seq <= v.quitSeq:
-		answer.Kind = Stale
+	case m.now < m.quietUntil:
+		response.Kind, response.Remaining = Quiet, m.quietUntil-m.now
+	case !free && !ownGrant:
+		response.Kind, response.Remaining = Held, current.until-m.now
+	case msg.Kind == Query && free:
+		response.Kind = Free
+	case msg.Kind == Query:
+		response.Kind, response.Remaining = Held, current.until-m.now
+	case msg.Number < current.number || msg.Number == current.number && !ownGrant, current.releasedBy == from && current.releasedRun == msg.RunID && msg.Seq <= current.releasedSeq:
+		response.Kind = Stale
 	default:
-		seq := x.Seq
-		if mine { // an older asking may come late
-			seq = max(seq, v.seq)
+		seq := msg.Seq
+		if ownGrant { // an older request may arrive late
+			seq = max(seq, current.seq)
 		}
-		v.number, v.to, v.life, v.seq, v.until = x.Number, from, x.Life, seq, m.now+m.c.Lease
-		answer.Kind, answer.Number = Grant, x.Number
-		m.learn(d, from, x.Number, v.until)
+		current.number, current.holder, current.runID, current.seq, current.until = msg.Number, from, msg.RunID, seq, m.now+m.config.Lease
+		response.Kind, response.Number = Grant, msg.Number
+		m.learnHolder(duty, from, msg.Number, current.until)
 	}
-	if answer.Kind == Grant {
+	if response.Kind == Grant {
 		m.Counts.Granted++
-	} else if x.Kind == Ask {
+	} else if msg.Kind == Request {
 		m.Counts.Refused++
 	}
-	m.send(from, answer)
+	m.send(from, response)
 }
--- a/internal/fleet/simulation/simulation.go
+++ b/internal/fleet/simulation/simulation.go
@@ -353,7 +353,7 @@
 
 func (w *World) acted(d int, number uint64) {
 	x := &w.duties[d]
-	if !w.o.NoFence && !x.fence.Take(number) {
+	if !w.o.NoFence && !x.fence.Accept(number) {
 		w.Result.Late++
 		return
 	}
