--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -263,7 +263,7 @@
 			m.Unreadable++
 			return
 		}
-		m.member(now, &members.Event{Kind: members.Heard, From: ev.From, Msg: &m.msg})
+		m.member(now, &members.Event{Kind: members.MessageReceived, From: ev.From, Msg: &m.msg})
 	case len(m.raw) > 0 && m.raw[0] == lease.Version:
 		e := lease.Event{Kind: lease.MessageReceived, Wall: ev.Wall, From: ev.From}
 		if m.signed(now, ev.From, e.Msg.Parse(m.raw, m.digest)) {
@@ -282,7 +282,7 @@
 			m.govern(now, &rules.Event{Kind: rules.Heard, From: ev.From, Msg: &m.rMsg})
 		}
 	default: // some other word: whoever sent it lives
-		m.member(now, &members.Event{Kind: members.Sign, From: ev.From})
+		m.member(now, &members.Event{Kind: members.Contact, From: ev.From})
 	}
 }
 
@@ -292,7 +292,7 @@
 		m.Unreadable++
 		return false
 	}
-	m.member(now, &members.Event{Kind: members.Sign, From: from})
+	m.member(now, &members.Event{Kind: members.Contact, From: from})
 	return true
 }
 
@@ -308,7 +308,7 @@
 			m.wakes[0] = a.At
 		case members.Changed:
 			changed = true
-			m.acts = append(m.acts, Action{Kind: Changed, To: a.Who, State: a.State})
+			m.acts = append(m.acts, Action{Kind: Changed, To: a.Member, State: a.State})
 		}
 	}
 	if changed {
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -203,7 +203,7 @@
 			b.ResetTimer()
 			for i := range b.N {
 				msg.Seq = uint32(i)
-				acts = m.Step(float64(i)/1000, &members.Event{Kind: members.Heard, From: 1 + i%(n-1), Msg: msg}, acts[:0])
+				acts = m.Step(float64(i)/1000, &members.Event{Kind: members.MessageReceived, From: 1 + i%(n-1), Msg: msg}, acts[:0])
 			}
 		})
 		b.Run(fmt.Sprintf("lease/schedulers=%d", n), func(b *testing.B) {
--- a/internal/fleet/members/members.go
+++ b/internal/fleet/members/members.go
@@ -1,11 +1,13 @@
-// Package members says which of the configured schedulers live. It follows SWIM (Das, Gupta,
-// Motivala 2002) with the corrections of Lifeguard (Dadgar, Phillips, Currey 2018): each asks one
-// other in a period, asks others to ask where no answer comes, suspects before it believes, and
-// doubts itself first when it is slow. docs/design/duties.md says why, and what it promises: a
-// death is noticed, a false belief ends; never that two schedulers believe the same at one time.
+// Package members detects which of the configured schedulers are live. It implements SWIM (Das, Gupta,
+// Motivala 2002) with the Lifeguard extensions (Dadgar, Phillips, Currey 2018). In each period a
+// scheduler pings one other member. If no response arrives it requests indirect pings through others,
+// and it suspects a member before it declares the member dead. A scheduler that is itself slow extends
+// its own timeouts first. docs/design/duties.md gives the reasons and the guarantees: a death is
+// detected and a false belief ends, but two schedulers may disagree at any time.
 //
-// It is a state machine without I/O: events in, actions out; it reads no clock, starts no goroutine
-// and keeps no global state. Times are milliseconds on the host's clock.
+// The Machine is given events (received messages, timers) and returns actions (messages to send, state
+// changes). It performs no I/O, reads no clock, starts no goroutine and keeps no global state. Times
+// are in milliseconds on the host's clock.
 package members
 
 import (
@@ -14,175 +16,177 @@
 	"math/rand/v2"
 )
 
-// State is what is believed of a scheduler.
+// State is the state of a scheduler as believed locally.
 type State byte
 
-// The states. A scheduler that was not heard of yet is taken for living, as the list says so.
+// The states. A configured scheduler starts as Alive, before any contact.
 const (
-	Living State = iota
+	Alive State = iota
 	Suspected
 	Dead
-	Left // it said itself that it ends
+	Left // announced its own shutdown
 )
 
 func (s State) String() string { return [...]string{"living", "suspected", "dead", "left"}[s] }
 
-// MaxFleet is how many schedulers a list may hold.
+// MaxFleet is the maximum number of configured schedulers.
 const MaxFleet = 4096
 
-// Config sets a machine up.
+// Config configures a Machine.
 type Config struct {
 	Self, Fleet int
-	Period      float64 // ms between two askings
-	AnswerIn    float64 // ms within which an answer is awaited before others are asked to ask
-	Helpers     int     // how many these are
+	Period      float64 // interval between two pings in ms
+	AnswerIn    float64 // ms to wait for a response before indirect pings are requested
+	Helpers     int     // number of members that are requested to ping indirectly
 	Seed        uint64
 }
 
-// Default is what an operator's file leaves out.
+// Default returns the values of settings that the operator's file omits.
 func Default() Config { return Config{Period: 500, AnswerIn: 150, Helpers: 3} }
 
-// Check returns an error that names the setting that is impossible.
+// Check returns an error that names the first invalid setting.
 func (c *Config) Check() error {
 	switch {
 	case c.Fleet < 1 || c.Fleet > MaxFleet || c.Self < 0 || c.Self >= c.Fleet:
-		return fmt.Errorf("members: scheduler %d of %d, and may be one of up to %d", c.Self, c.Fleet, MaxFleet)
+		return fmt.Errorf("members: scheduler %d of %d is out of range; a fleet has up to %d schedulers", c.Self, c.Fleet, MaxFleet)
 	case !(c.Period >= 50 && c.Period <= 60_000):
-		return fmt.Errorf("members: period is %gms, and may be 50ms to 1m", c.Period)
+		return fmt.Errorf("members: period is %gms; it must be 50ms to 1m", c.Period)
 	case !(c.AnswerIn > 0 && c.AnswerIn <= c.Period/2):
-		return fmt.Errorf("members: answer_in is %gms, and may be up to half the period (%gms)", c.AnswerIn, c.Period)
+		return fmt.Errorf("members: answer_in is %gms; it must be above 0 and up to half the period (%gms)", c.AnswerIn, c.Period)
 	case c.Helpers < 0 || c.Helpers > 8:
-		return fmt.Errorf("members: helpers is %d, and may be 0 to 8", c.Helpers)
+		return fmt.Errorf("members: helpers is %d; it must be 0 to 8", c.Helpers)
 	}
 	return nil
 }
 
 const (
-	suspectFor = 3.0 // periods for each tenfold of the fleet until a suspected one is dead, with others' word,
-	suspectAll = 4.0 // and so many times as long without
-	enough     = 3   // others whose word brings it to the least
-	maxUnwell  = 6   // how far a scheduler doubts itself: each step lengthens what it waits for
-	spread     = 4.0 // times that a rumour is passed on for each doubling of the fleet
-	perMsg     = 24  // rumours in a datagram
-	oldDead    = 4   // each so many periods one that is taken for dead is asked, or a cut would never heal
-	stallFrom  = 1.5 // periods without any event: this process stood still
+	minSuspicionPeriods = 3.0 // minimum suspicion timeout in periods, per factor of ten in fleet size
+	maxSuspicionFactor  = 4.0 // maximum suspicion timeout, as a multiple of the minimum
+	maxReporters        = 3   // independent reporters that shorten the suspicion timeout to the minimum
+	maxHealthPenalty    = 6   // upper limit of the health penalty; each step lengthens the timeouts
+	gossipFactor        = 4.0 // times an update is sent, per doubling of the fleet size
+	maxUpdatesPerMsg    = 24  // updates in one datagram
+	deadPingPeriods     = 4   // a dead or departed member is pinged every this many periods; otherwise a partition would never heal
+	stallPeriods        = 1.5 // periods without any event after which this process is taken to have paused
 )
 
-// EventKind tells events apart.
+// EventKind is the kind of an Event.
 type EventKind int
 
 // The kinds of events.
 const (
-	Due   EventKind = iota // the time asked for has come
-	Heard                  // a message: From, Msg
-	Sign                   // some other word came from From: it lives
-	Leave                  // this scheduler is to end
+	Due             EventKind = iota // the requested wake-up time is reached
+	MessageReceived                  // a message was received: From, Msg
+	Contact                          // another datagram from From was received, so it is alive
+	Leave                            // this scheduler shuts down
 )
 
-// Event is one thing that happened.
+// Event is one input to the Machine.
 type Event struct {
 	Kind EventKind
 	From int
 	Msg  *Msg
 }
 
-// ActionKind tells actions apart.
+// ActionKind is the kind of an Action.
 type ActionKind int
 
 // The kinds of actions.
 const (
-	Send    ActionKind = iota // a message: To, Msg, which holds until the next Step
-	Wake                      // ask for Due at At; a later one replaces it
-	Changed                   // what is believed of Who: State
+	Send    ActionKind = iota // send a message: To, Msg; Msg is valid until the next Step
+	Wake                      // deliver Due at At; replaces an earlier wake-up
+	Changed                   // the state of Member changed: State
 )
 
-// Action is one thing that the host must do, in order.
+// Action is one output of the Machine. The host carries out actions in order.
 type Action struct {
-	Kind  ActionKind
-	To    int
-	Msg   Msg
-	At    float64
-	Who   int
-	State State
+	Kind   ActionKind
+	To     int
+	Msg    Msg
+	At     float64
+	Member int
+	State  State
 }
 
+// member is the local state of one scheduler.
 type member struct {
-	state    State
-	inc      uint32
-	since    float64 // of the state
-	signAt   float64 // when it was last heard directly
-	deadAt   float64 // suspected: when it is dead
-	by       [enough]int
-	words    int // of how many others it is known to be suspected
-	passes   int // times that its state is still to be passed on
-	inRumour bool
+	state        State
+	incarnation  uint32
+	since        float64 // time of the last state change
+	lastContact  float64 // time of the last direct contact
+	deadAt       float64 // suspected: when it is declared dead
+	reporters    [maxReporters]int
+	numReporters int // suspected: number of independent reporters
+	sendsLeft    int // how often its state is still to be sent
+	queued       bool
 }
 
-// Counts tell what happened.
-type Counts struct{ Asked, Helped, Suspected, Died, Refuted, Stalls, Foreign int }
+// Counts holds event counters.
+type Counts struct{ Pinged, IndirectPings, Suspected, Died, Refuted, Stalls, Ignored int }
 
-// Machine believes.
+// Machine is one scheduler's failure detector. Create it with New.
 type Machine struct {
-	c       Config
-	rng     *rand.Rand
-	now     float64
-	all     []member
-	order   []int // in which others are asked
-	next    int
-	rumours []int // whose state is to be passed on
-	at      int   // the next of them
-	suspect []int
-	gone    []int // taken for dead, or left: either may be there again, and the word of it be lost
-	unwell  int
-
-	seq       uint32
-	asked     int // who is being asked; -1: nobody
-	askedAt   float64
-	helpAt    float64 // when others are asked to ask; infinite once they were
-	periodAt  float64 // when the next period begins
-	periods   int
-	leaving   bool
-	acts      []Action
-	helping   [16]help // whose askings are passed on; the oldest goes
-	helpingAt int
+	config        Config
+	rng           *rand.Rand
+	now           float64
+	members       []member
+	pingOrder     []int // order in which members are pinged
+	nextPing      int
+	updateQueue   []int // members whose state is to be sent
+	nextUpdate    int   // next entry of updateQueue to send
+	suspects      []int
+	gone          []int // dead or departed members; they are pinged at times, as a member may have restarted and its update may have been lost
+	healthPenalty int
+
+	seq             uint32
+	pinged          int // member with an outstanding ping; -1: no member
+	pingedAt        float64
+	indirectAt      float64 // when indirect pings are requested; infinite once they were
+	nextPeriodAt    float64 // start of the next period
+	periods         int
+	leaving         bool
+	actions         []Action
+	pendingIndirect [16]indirectPing // pings sent on behalf of others; ring buffer that overwrites the oldest
+	nextIndirect    int
 
 	Counts Counts
 }
 
-type help struct {
-	seq, theirs uint32
-	from        int
+// indirectPing is a ping sent on behalf of another scheduler.
+type indirectPing struct {
+	seq, requesterSeq uint32
+	requester         int
 }
 
-// New returns a machine that takes all for living.
-func New(c Config, now float64) (*Machine, error) {
-	if err := c.Check(); err != nil {
+// New returns a machine that takes all schedulers to be alive.
+func New(config Config, now float64) (*Machine, error) {
+	if err := config.Check(); err != nil {
 		return nil, err
 	}
-	m := &Machine{c: c, rng: rand.New(rand.NewPCG(c.Seed, uint64(c.Self))), now: now, all: make([]member, c.Fleet), asked: -1,
-		helpAt: math.Inf(1)}
-	for i := range m.all {
-		m.all[i].since = now
-		m.all[i].signAt = math.Inf(-1)
+	m := &Machine{config: config, rng: rand.New(rand.NewPCG(config.Seed, uint64(config.Self))), now: now, members: make([]member, config.Fleet), pinged: -1,
+		indirectAt: math.Inf(1)}
+	for i := range m.members {
+		m.members[i].since = now
+		m.members[i].lastContact = math.Inf(-1)
 	}
-	for i := range m.helping {
-		m.helping[i].from = -1
+	for i := range m.pendingIndirect {
+		m.pendingIndirect[i].requester = -1
 	}
-	for _, who := range m.rng.Perm(c.Fleet) {
-		if who != c.Self {
-			m.order = append(m.order, who)
+	for _, who := range m.rng.Perm(config.Fleet) {
+		if who != config.Self {
+			m.pingOrder = append(m.pingOrder, who)
 		}
 	}
-	m.periodAt = now + m.rng.Float64()*c.Period
-	m.rumour(c.Self) // that it is here
+	m.nextPeriodAt = now + m.rng.Float64()*config.Period
+	m.queueUpdate(config.Self) // announce this scheduler
 	return m, nil
 }
 
-// Step takes one event at the given time and appends the actions that answer it.
+// Step processes one event at the given time and appends the resulting actions to acts.
 func (m *Machine) Step(now float64, ev *Event, acts []Action) []Action {
-	m.acts = acts
-	if gap := now - m.now; gap > stallFrom*m.c.Period {
-		m.stalled(gap)
+	m.actions = acts
+	if gap := now - m.now; gap > stallPeriods*m.config.Period {
+		m.onStall(gap)
 	}
 	m.now = max(m.now, now)
 	before := m.wakeAt()
@@ -190,41 +194,41 @@
 	case ev.Kind == Leave:
 		m.leave()
 	case ev.Kind == Due:
-	case ev.From < 0 || ev.From >= m.c.Fleet || ev.From == m.c.Self:
-		m.Counts.Foreign++
-	case ev.Kind == Sign:
-		if x := &m.all[ev.From]; x.state >= Dead && m.now-x.signAt >= m.c.Period {
+	case ev.From < 0 || ev.From >= m.config.Fleet || ev.From == m.config.Self:
+		m.Counts.Ignored++
+	case ev.Kind == Contact:
+		if x := &m.members[ev.From]; x.state >= Dead && m.now-x.lastContact >= m.config.Period {
 			m.seq++
-			m.send(ev.From, Ping, m.seq, 0) // it speaks: it is to hear what is thought of it
+			m.send(ev.From, Ping, m.seq, 0) // it is alive after all: send it the state that is held for it, so that it can refute it
 		}
-		m.sign(ev.From)
-	case ev.Kind == Heard:
-		m.heard(ev.From, ev.Msg)
+		m.recordContact(ev.From)
+	case ev.Kind == MessageReceived:
+		m.receive(ev.From, ev.Msg)
 	}
-	m.due()
+	m.onTimers()
 	if at := m.wakeAt(); ev.Kind == Due || at != before {
-		m.do(Action{Kind: Wake, At: at})
+		m.emit(Action{Kind: Wake, At: at})
 	}
-	acts, m.acts = m.acts, nil
+	acts, m.actions = m.actions, nil
 	return acts
 }
 
-func (m *Machine) do(a Action) { m.acts = append(m.acts, a) }
+func (m *Machine) emit(a Action) { m.actions = append(m.actions, a) }
 
-func (m *Machine) wakeAt() float64 { return min(m.helpAt, m.periodAt) }
+func (m *Machine) wakeAt() float64 { return min(m.indirectAt, m.nextPeriodAt) }
 
-// Alive says whether a scheduler is not taken for dead. Whoever is only suspected still counts: what
-// is shared by the number of the living is then shared among too many, and not among too few.
-func (m *Machine) Alive(who int) bool { return m.all[who].state < Dead }
+// Alive reports whether a scheduler is not declared dead. A suspected scheduler still counts, so that
+// a quantity divided by the number of live members is divided among too many rather than too few.
+func (m *Machine) Alive(who int) bool { return m.members[who].state < Dead }
 
-// State is what is believed of a scheduler, and since when.
+// State returns the believed state of a scheduler and the time of its last change.
 func (m *Machine) State(who int) (s State, since float64) {
-	return m.all[who].state, m.all[who].since
+	return m.members[who].state, m.members[who].since
 }
 
-// Count is how many are not taken for dead, this one among them.
+// Count returns the number of schedulers that are not declared dead, including this one.
 func (m *Machine) Count() (n int) {
-	for i := range m.all {
+	for i := range m.members {
 		if m.Alive(i) {
 			n++
 		}
@@ -232,217 +236,221 @@
 	return n
 }
 
-// stalled notes that this process stood still: it heard nobody for its own fault, so nobody's time
-// runs on for that, and the asking in hand says nothing.
-func (m *Machine) stalled(gap float64) {
+// onStall handles a pause of this process. The missing contacts are this process's own fault, so
+// suspicion timeouts are extended by the pause and the outstanding ping is discarded.
+func (m *Machine) onStall(gap float64) {
 	m.Counts.Stalls++
-	for _, who := range m.suspect {
-		m.all[who].deadAt += gap
+	for _, who := range m.suspects {
+		m.members[who].deadAt += gap
 	}
-	m.asked, m.helpAt = -1, math.Inf(1)
-	m.doubt(2)
+	m.pinged, m.indirectAt = -1, math.Inf(1)
+	m.adjustHealthPenalty(2)
 }
 
-// doubt makes this scheduler trust its own eyes less, or more.
-func (m *Machine) doubt(by int) { m.unwell = min(maxUnwell, max(0, m.unwell+by)) }
+// adjustHealthPenalty changes the health penalty, by which this scheduler lengthens its own timeouts.
+func (m *Machine) adjustHealthPenalty(by int) {
+	m.healthPenalty = min(maxHealthPenalty, max(0, m.healthPenalty+by))
+}
 
-// patience is how long an answer is awaited.
-func (m *Machine) patience() float64 {
-	return min(m.c.AnswerIn*float64(1+m.unwell), m.c.Period*0.45*float64(1+m.unwell))
+// pingTimeout returns how long a ping response is awaited, in ms.
+func (m *Machine) pingTimeout() float64 {
+	return min(m.config.AnswerIn*float64(1+m.healthPenalty), m.config.Period*0.45*float64(1+m.healthPenalty))
 }
 
-func (m *Machine) due() {
-	if m.now >= m.helpAt {
-		m.helpAt = math.Inf(1)
-		m.help()
+func (m *Machine) onTimers() {
+	if m.now >= m.indirectAt {
+		m.indirectAt = math.Inf(1)
+		m.sendIndirectPings()
 	}
-	if m.now >= m.periodAt {
-		m.period()
+	if m.now >= m.nextPeriodAt {
+		m.startPeriod()
 	}
 }
 
-// period ends one asking and begins the next.
-func (m *Machine) period() {
-	m.periodAt = m.now + m.c.Period*(0.9+0.2*m.rng.Float64())
-	if m.asked >= 0 {
-		if waited := m.now - m.askedAt; waited < 2*m.patience() && m.unwell > 0 {
-			return // one that doubts itself gives more time, and asks nobody else meanwhile
+// startPeriod ends the current period and pings the next member.
+func (m *Machine) startPeriod() {
+	m.nextPeriodAt = m.now + m.config.Period*(0.9+0.2*m.rng.Float64())
+	if m.pinged >= 0 {
+		if waited := m.now - m.pingedAt; waited < 2*m.pingTimeout() && m.healthPenalty > 0 {
+			return // a scheduler with a health penalty waits longer, and pings no other member meanwhile
 		}
-		who := m.asked
-		m.asked = -1
-		m.doubt(1)
-		m.suspectOne(who, m.all[who].inc, m.c.Self)
-	}
-	k := 0
-	for _, who := range m.suspect {
-		if m.now < m.all[who].deadAt || m.all[who].state != Suspected {
-			m.suspect[k] = who
-			k++
+		who := m.pinged
+		m.pinged = -1
+		m.adjustHealthPenalty(1)
+		m.suspectMember(who, m.members[who].incarnation, m.config.Self)
+	}
+	kept := 0
+	for _, who := range m.suspects {
+		if m.now < m.members[who].deadAt || m.members[who].state != Suspected {
+			m.suspects[kept] = who
+			kept++
 			continue
 		}
 		m.Counts.Died++
-		m.set(who, Dead, m.all[who].inc)
+		m.setState(who, Dead, m.members[who].incarnation)
 	}
-	m.suspect = m.suspect[:k]
-	if m.leaving || m.c.Fleet == 1 {
+	m.suspects = m.suspects[:kept]
+	if m.leaving || m.config.Fleet == 1 {
 		return
 	}
 	m.periods++
-	if m.periods%oldDead == 0 && len(m.gone) > 0 {
+	if m.periods%deadPingPeriods == 0 && len(m.gone) > 0 {
 		m.seq++
 		m.send(m.gone[m.rng.IntN(len(m.gone))], Ping, m.seq, 0)
 	}
-	for range m.order {
-		who := m.order[m.next]
-		if m.next++; m.next == len(m.order) {
-			m.next = 0
-			m.rng.Shuffle(len(m.order), func(i, j int) { m.order[i], m.order[j] = m.order[j], m.order[i] })
+	for range m.pingOrder {
+		who := m.pingOrder[m.nextPing]
+		if m.nextPing++; m.nextPing == len(m.pingOrder) {
+			m.nextPing = 0
+			m.rng.Shuffle(len(m.pingOrder), func(i, j int) { m.pingOrder[i], m.pingOrder[j] = m.pingOrder[j], m.pingOrder[i] })
 		}
-		if x := &m.all[who]; x.state >= Dead || x.state == Living && m.now-x.signAt < m.c.Period {
-			continue // or it was heard just now
+		if x := &m.members[who]; x.state >= Dead || x.state == Alive && m.now-x.lastContact < m.config.Period {
+			continue // gone, or contacted recently
 		}
 		m.seq++
-		m.Counts.Asked++
-		m.asked, m.askedAt, m.helpAt = who, m.now, m.now+m.patience()
+		m.Counts.Pinged++
+		m.pinged, m.pingedAt, m.indirectAt = who, m.now, m.now+m.pingTimeout()
 		m.send(who, Ping, m.seq, 0)
 		return
 	}
 }
 
-// help has others ask the one that does not answer.
-func (m *Machine) help() {
-	if m.asked < 0 {
+// sendIndirectPings repeats the outstanding ping and requests other members to ping its target.
+func (m *Machine) sendIndirectPings() {
+	if m.pinged < 0 {
 		return
 	}
-	m.send(m.asked, Ping, m.seq, 0) // the first may have been lost
-	for n, tries := 0, 0; n < m.c.Helpers && tries < 4*m.c.Helpers && len(m.order) > 1; tries++ {
-		who := m.order[m.rng.IntN(len(m.order))]
-		if who != m.asked && m.all[who].state == Living {
-			m.send(who, PingFor, m.seq, m.asked)
+	m.send(m.pinged, Ping, m.seq, 0) // the first ping may have been lost
+	for n, tries := 0, 0; n < m.config.Helpers && tries < 4*m.config.Helpers && len(m.pingOrder) > 1; tries++ {
+		who := m.pingOrder[m.rng.IntN(len(m.pingOrder))]
+		if who != m.pinged && m.members[who].state == Alive {
+			m.send(who, IndirectPing, m.seq, m.pinged)
 			n++
 		}
 	}
 }
 
-// sign notes that a scheduler was heard.
-func (m *Machine) sign(who int) {
-	m.all[who].signAt = m.now
-	if who == m.asked {
-		m.asked, m.helpAt = -1, math.Inf(1)
-		m.doubt(-1)
+// recordContact records a direct contact with a scheduler.
+func (m *Machine) recordContact(who int) {
+	m.members[who].lastContact = m.now
+	if who == m.pinged {
+		m.pinged, m.indirectAt = -1, math.Inf(1)
+		m.adjustHealthPenalty(-1)
 	}
 }
 
-func (m *Machine) heard(from int, x *Msg) {
-	m.sign(from)
-	for _, r := range x.Rumours[:x.N] {
-		m.rumoured(int(r.By), int(r.Who), r.State, r.Inc)
+func (m *Machine) receive(from int, msg *Msg) {
+	m.recordContact(from)
+	for _, r := range msg.Updates[:msg.NumUpdates] {
+		m.applyUpdate(int(r.Reporter), int(r.Member), r.State, r.Incarnation)
 	}
-	switch x.Kind {
+	switch msg.Kind {
 	case Ping:
-		m.send(from, Ack, x.Seq, 0)
-	case PingFor:
-		if x.Who >= 0 && x.Who < m.c.Fleet && x.Who != m.c.Self {
-			m.Counts.Helped++
+		m.send(from, Ack, msg.Seq, 0)
+	case IndirectPing:
+		if msg.Target >= 0 && msg.Target < m.config.Fleet && msg.Target != m.config.Self {
+			m.Counts.IndirectPings++
 			m.seq++
-			m.helping[m.helpingAt] = help{m.seq, x.Seq, from}
-			m.helpingAt = (m.helpingAt + 1) % len(m.helping)
-			m.send(x.Who, Ping, m.seq, 0)
+			m.pendingIndirect[m.nextIndirect] = indirectPing{m.seq, msg.Seq, from}
+			m.nextIndirect = (m.nextIndirect + 1) % len(m.pendingIndirect)
+			m.send(msg.Target, Ping, m.seq, 0)
 		}
 	case Ack:
-		for i := range m.helping {
-			if h := &m.helping[i]; h.from >= 0 && h.seq == x.Seq {
-				m.send(h.from, AckFor, h.theirs, from)
-				h.from = -1
+		for i := range m.pendingIndirect {
+			if h := &m.pendingIndirect[i]; h.requester >= 0 && h.seq == msg.Seq {
+				m.send(h.requester, IndirectAck, h.requesterSeq, from)
+				h.requester = -1
 			}
 		}
-	case AckFor:
-		if x.Who == m.asked && x.Seq == m.seq {
-			m.sign(x.Who)
+	case IndirectAck:
+		if msg.Target == m.pinged && msg.Seq == m.seq {
+			m.recordContact(msg.Target)
 		}
 	}
 }
 
-// rumoured takes a rumour in: what is newer wins, and of one age what is worse; only a scheduler itself
-// makes its age newer, when it hears that it is thought to be worse than it is.
-func (m *Machine) rumoured(by, who int, s State, inc uint32) {
-	if who >= m.c.Fleet {
-		m.Counts.Foreign++
+// applyUpdate applies an update. A newer incarnation wins; within one incarnation the worse state
+// wins. Only the scheduler itself increases its incarnation, when it receives an update with a state
+// worse than its own.
+func (m *Machine) applyUpdate(reporter, who int, state State, incarnation uint32) {
+	if who >= m.config.Fleet {
+		m.Counts.Ignored++
 		return
 	}
-	x := &m.all[who]
-	if who == m.c.Self {
-		if s != Living && inc < x.inc && !m.leaving {
-			m.rumour(who) // it has answered that before, and whoever says so has not heard: it may have been cut off then
-		} else if (s != Living || inc > x.inc) && !m.leaving && inc >= x.inc {
-			x.inc = inc + 1
-			if s == Living {
-				x.inc = inc // its own, of before a restart: the next doubt is answered from there
+	member := &m.members[who]
+	if who == m.config.Self {
+		if state != Alive && incarnation < member.incarnation && !m.leaving {
+			m.queueUpdate(who) // already refuted with a newer incarnation; the reporter may have been unreachable when that was sent
+		} else if (state != Alive || incarnation > member.incarnation) && !m.leaving && incarnation >= member.incarnation {
+			member.incarnation = incarnation + 1
+			if state == Alive {
+				member.incarnation = incarnation // the incarnation of an earlier run: the next suspicion is refuted from there
 			}
 			m.Counts.Refuted++
-			if s == Suspected {
-				m.doubt(1)
+			if state == Suspected {
+				m.adjustHealthPenalty(1)
 			}
-			m.rumour(who)
+			m.queueUpdate(who)
 		}
 		return
 	}
 	switch {
-	case s == Living && inc > x.inc, s >= Dead && x.state < Dead && inc >= x.inc, s >= Dead && inc > x.inc:
-		m.set(who, s, inc)
-	case s == Suspected:
-		m.suspectOne(who, inc, by)
+	case state == Alive && incarnation > member.incarnation, state >= Dead && member.state < Dead && incarnation >= member.incarnation, state >= Dead && incarnation > member.incarnation:
+		m.setState(who, state, incarnation)
+	case state == Suspected:
+		m.suspectMember(who, incarnation, reporter)
 	}
 }
 
-// suspectOne begins to suspect a scheduler, or counts one more that does by its own eyes: who passes
-// the rumour on counts for nothing.
-func (m *Machine) suspectOne(who int, inc uint32, by int) {
-	x := &m.all[who]
-	if inc < x.inc || x.state >= Dead && inc == x.inc {
+// suspectMember starts to suspect a scheduler, or counts one more independent reporter of the
+// suspicion. A scheduler that only forwards the update is not a reporter.
+func (m *Machine) suspectMember(who int, incarnation uint32, reporter int) {
+	member := &m.members[who]
+	if incarnation < member.incarnation || member.state >= Dead && incarnation == member.incarnation {
 		return
 	}
-	if x.state != Suspected || inc > x.inc {
+	if member.state != Suspected || incarnation > member.incarnation {
 		m.Counts.Suspected++
-		m.set(who, Suspected, inc)
-		x.by[0], x.words = by, 1
-		x.deadAt = m.now + m.suspicion(1)
+		m.setState(who, Suspected, incarnation)
+		member.reporters[0], member.numReporters = reporter, 1
+		member.deadAt = m.now + m.suspicionTimeout(1)
 		return
 	}
-	for _, other := range x.by[:x.words] {
-		if other == by {
+	for _, other := range member.reporters[:member.numReporters] {
+		if other == reporter {
 			return
 		}
 	}
-	if x.words < enough {
-		x.by[x.words] = by
-		x.words++
-		x.deadAt = min(x.deadAt, x.since+m.suspicion(x.words))
-		m.rumour(who) // one more word is worth passing on
+	if member.numReporters < maxReporters {
+		member.reporters[member.numReporters] = reporter
+		member.numReporters++
+		member.deadAt = min(member.deadAt, member.since+m.suspicionTimeout(member.numReporters))
+		m.queueUpdate(who) // forward the update with the additional reporter
 	}
 }
 
-// suspicion is how long one is suspected before it is taken for dead: less, the more say so.
-func (m *Machine) suspicion(words int) float64 {
-	least := suspectFor * max(1, math.Log10(float64(m.c.Fleet))) * m.c.Period
-	most := least * suspectAll
-	return max(least, most-(most-least)*math.Log(float64(words))/math.Log(enough)) * (1 + float64(m.unwell)/4)
+// suspicionTimeout returns how long a member is suspected before it is declared dead, in ms. More
+// reporters shorten it.
+func (m *Machine) suspicionTimeout(numReporters int) float64 {
+	shortest := minSuspicionPeriods * max(1, math.Log10(float64(m.config.Fleet))) * m.config.Period
+	longest := shortest * maxSuspicionFactor
+	return max(shortest, longest-(longest-shortest)*math.Log(float64(numReporters))/math.Log(maxReporters)) * (1 + float64(m.healthPenalty)/4)
 }
 
-// set changes what is believed of a scheduler.
-func (m *Machine) set(who int, s State, inc uint32) {
-	x := &m.all[who]
-	was := x.state
-	x.inc = inc
-	m.rumour(who)
-	if was == s {
+// setState changes the believed state of a scheduler.
+func (m *Machine) setState(who int, state State, incarnation uint32) {
+	member := &m.members[who]
+	oldState := member.state
+	member.incarnation = incarnation
+	m.queueUpdate(who)
+	if oldState == state {
 		return
 	}
-	x.state, x.since = s, m.now
-	if s == Suspected {
-		m.suspect = append(m.suspect, who)
+	member.state, member.since = state, m.now
+	if state == Suspected {
+		m.suspects = append(m.suspects, who)
 	}
-	if was >= Dead && s < Dead {
+	if oldState >= Dead && state < Dead {
 		for i, w := range m.gone {
 			if w == who {
 				m.gone[i] = m.gone[len(m.gone)-1]
@@ -451,60 +459,61 @@
 			}
 		}
 	}
-	if s >= Dead && was < Dead {
+	if state >= Dead && oldState < Dead {
 		m.gone = append(m.gone, who)
 	}
-	m.do(Action{Kind: Changed, Who: who, State: s})
+	m.emit(Action{Kind: Changed, Member: who, State: state})
 }
 
-// rumour has a scheduler's state passed on.
-func (m *Machine) rumour(who int) {
-	x := &m.all[who]
-	x.passes = int(spread * math.Ceil(math.Log2(float64(m.c.Fleet)+1)))
-	if !x.inRumour {
-		x.inRumour = true
-		m.rumours = append(m.rumours, who)
+// queueUpdate queues a scheduler's state for sending.
+func (m *Machine) queueUpdate(who int) {
+	member := &m.members[who]
+	member.sendsLeft = int(gossipFactor * math.Ceil(math.Log2(float64(m.config.Fleet)+1)))
+	if !member.queued {
+		member.queued = true
+		m.updateQueue = append(m.updateQueue, who)
 	}
 }
 
-// leave says to some others that this one ends; they pass it on.
+// leave announces this scheduler's shutdown to some others, which forward it.
 func (m *Machine) leave() {
 	m.leaving = true
-	m.all[m.c.Self].inc++
-	m.all[m.c.Self].state = Left
-	m.rumour(m.c.Self)
+	m.members[m.config.Self].incarnation++
+	m.members[m.config.Self].state = Left
+	m.queueUpdate(m.config.Self)
 	n := 0
-	for _, who := range m.order {
-		if m.all[who].state == Living {
+	for _, who := range m.pingOrder {
+		if m.members[who].state == Alive {
 			m.seq++
 			m.send(who, Ping, m.seq, 0)
-			if n++; n == 2*max(1, m.c.Helpers) {
+			if n++; n == 2*max(1, m.config.Helpers) {
 				return
 			}
 		}
 	}
 }
 
-// send says something, with as many rumours as fit. The one who is asked learns first what is thought of it.
+// send sends a message with as many queued updates as fit. A recipient that is not believed alive gets
+// its own state first.
 func (m *Machine) send(to int, kind MsgKind, seq uint32, who int) {
-	m.acts = append(m.acts, Action{Kind: Send, To: to, Msg: Msg{Kind: kind, Seq: seq, Who: who}})
-	x := &m.acts[len(m.acts)-1].Msg
-	if m.all[to].state != Living {
-		x.add(to, &m.all[to])
-	}
-	for left := len(m.rumours); left > 0 && x.N < perMsg; left-- {
-		if m.at >= len(m.rumours) {
-			m.at = 0
+	m.actions = append(m.actions, Action{Kind: Send, To: to, Msg: Msg{Kind: kind, Seq: seq, Target: who}})
+	msg := &m.actions[len(m.actions)-1].Msg
+	if m.members[to].state != Alive {
+		msg.add(to, &m.members[to])
+	}
+	for left := len(m.updateQueue); left > 0 && msg.NumUpdates < maxUpdatesPerMsg; left-- {
+		if m.nextUpdate >= len(m.updateQueue) {
+			m.nextUpdate = 0
 		}
-		whose := m.rumours[m.at]
-		r := &m.all[whose]
-		x.add(whose, r)
-		if r.passes--; r.passes > 0 {
-			m.at++
+		subject := m.updateQueue[m.nextUpdate]
+		member := &m.members[subject]
+		msg.add(subject, member)
+		if member.sendsLeft--; member.sendsLeft > 0 {
+			m.nextUpdate++
 			continue
 		}
-		r.inRumour = false
-		m.rumours[m.at] = m.rumours[len(m.rumours)-1]
-		m.rumours = m.rumours[:len(m.rumours)-1]
+		member.queued = false
+		m.updateQueue[m.nextUpdate] = m.updateQueue[len(m.updateQueue)-1]
+		m.updateQueue = m.updateQueue[:len(m.updateQueue)-1]
 	}
 }
--- a/internal/fleet/members/msg.go
+++ b/internal/fleet/members/msg.go
@@ -6,81 +6,82 @@
 	"cottonwell/internal/fleet/frame"
 )
 
-// MsgKind tells messages apart.
+// MsgKind is the kind of a message.
 type MsgKind byte
 
 // The kinds of messages.
 const (
-	Ping    MsgKind = 1 + iota // do you live?
-	Ack                        // yes
-	PingFor                    // ask Who for me
-	AckFor                     // Who answered
+	Ping         MsgKind = 1 + iota // requests an Ack
+	Ack                             // response to Ping
+	IndirectPing                    // requests the recipient to ping Target for the sender
+	IndirectAck                     // response to IndirectPing: Target responded
 )
 
-// Rumour is what is believed of one scheduler.
-type Rumour struct {
-	Who   uint16
-	State State
-	Inc   uint32
-	By    uint16 // suspected: the latest who found no answer
+// Update is the state of one scheduler, as sent to others.
+type Update struct {
+	Member      uint16
+	State       State
+	Incarnation uint32
+	Reporter    uint16 // Suspected: the latest independent reporter
 }
 
-// Msg is what schedulers say of one another.
+// Msg is a message between schedulers about their states.
 type Msg struct {
-	Kind    MsgKind
-	Seq     uint32
-	Who     int
-	N       int // how many
-	Rumours [perMsg]Rumour
+	Kind       MsgKind
+	Seq        uint32
+	Target     int
+	NumUpdates int // used entries of Updates
+	Updates    [maxUpdatesPerMsg]Update
 }
 
-func (x *Msg) add(who int, m *member) {
-	r := Rumour{Who: uint16(who), State: m.state, Inc: m.inc}
-	if m.state == Suspected {
-		r.By = uint16(m.by[m.words-1])
+func (msg *Msg) add(who int, member *member) {
+	update := Update{Member: uint16(who), State: member.state, Incarnation: member.incarnation}
+	if member.state == Suspected {
+		update.Reporter = uint16(member.reporters[member.numReporters-1])
 	}
-	x.Rumours[x.N] = r
-	x.N++
+	msg.Updates[msg.NumUpdates] = update
+	msg.NumUpdates++
 }
 
-// Version is the first byte of a datagram that holds such a message.
+// Version is the first byte of a datagram with a members message.
 const Version = 0x50
 
 const (
-	fixed = 1 + 4 + 2
-	each  = 9
+	fixedSize  = 1 + 4 + 2
+	updateSize = 9
 )
 
-// Append writes a message as a datagram. Digest is of what must be the same at both ends.
-func (x *Msg) Append(raw []byte, digest uint32) []byte {
-	raw = append(frame.Begin(raw, Version, digest), byte(x.Kind))
-	raw = binary.LittleEndian.AppendUint32(raw, x.Seq)
-	raw = binary.LittleEndian.AppendUint16(raw, uint16(x.Who))
-	for _, r := range x.Rumours[:x.N] {
-		raw = binary.LittleEndian.AppendUint16(raw, r.Who)
+// Append encodes a message as a datagram and appends it to raw. digest is the hash of the
+// configuration that must be equal on both ends.
+func (msg *Msg) Append(raw []byte, digest uint32) []byte {
+	raw = append(frame.Begin(raw, Version, digest), byte(msg.Kind))
+	raw = binary.LittleEndian.AppendUint32(raw, msg.Seq)
+	raw = binary.LittleEndian.AppendUint16(raw, uint16(msg.Target))
+	for _, r := range msg.Updates[:msg.NumUpdates] {
+		raw = binary.LittleEndian.AppendUint16(raw, r.Member)
 		raw = append(raw, byte(r.State))
-		raw = binary.LittleEndian.AppendUint32(raw, r.Inc)
-		raw = binary.LittleEndian.AppendUint16(raw, r.By)
+		raw = binary.LittleEndian.AppendUint32(raw, r.Incarnation)
+		raw = binary.LittleEndian.AppendUint16(raw, r.Reporter)
 	}
 	return frame.Seal(raw)
 }
 
-// Parse reads a datagram.
-func (x *Msg) Parse(raw []byte, digest uint32) error {
-	b, err := frame.Open(raw, Version, digest)
+// Parse decodes a datagram.
+func (msg *Msg) Parse(raw []byte, digest uint32) error {
+	body, err := frame.Open(raw, Version, digest)
 	if err != nil {
 		return err
 	}
-	if len(b) < fixed || (len(b)-fixed)%each != 0 || (len(b)-fixed)/each > perMsg || b[0] < byte(Ping) || b[0] > byte(AckFor) {
+	if len(body) < fixedSize || (len(body)-fixedSize)%updateSize != 0 || (len(body)-fixedSize)/updateSize > maxUpdatesPerMsg || body[0] < byte(Ping) || body[0] > byte(IndirectAck) {
 		return frame.ErrForm
 	}
-	x.Kind, x.Seq, x.Who, x.N = MsgKind(b[0]), binary.LittleEndian.Uint32(b[1:]), int(binary.LittleEndian.Uint16(b[5:])), 0
-	for b = b[fixed:]; len(b) > 0; b = b[each:] {
-		if State(b[2]) > Left {
+	msg.Kind, msg.Seq, msg.Target, msg.NumUpdates = MsgKind(body[0]), binary.LittleEndian.Uint32(body[1:]), int(binary.LittleEndian.Uint16(body[5:])), 0
+	for body = body[fixedSize:]; len(body) > 0; body = body[updateSize:] {
+		if State(body[2]) > Left {
 			return frame.ErrForm
 		}
-		x.Rumours[x.N] = Rumour{binary.LittleEndian.Uint16(b), State(b[2]), binary.LittleEndian.Uint32(b[3:]), binary.LittleEndian.Uint16(b[7:])}
-		x.N++
+		msg.Updates[msg.NumUpdates] = Update{binary.LittleEndian.Uint16(body), State(body[2]), binary.LittleEndian.Uint32(body[3:]), binary.LittleEndian.Uint16(body[7:])}
+		msg.NumUpdates++
 	}
 	return nil
 }
