--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -229,11 +229,11 @@
 		m.account(now, &shares.Event{Kind: shares.Due, Asked: ev.Asked})
 		m.govern(now, &rules.Event{Kind: rules.Due})
 	case Doubted:
-		m.examine(now, &health.Event{Kind: health.Doubted, Target: ev.Target, Failing: ev.Failing})
+		m.examine(now, &health.Event{Kind: health.TargetSuspected, Target: ev.Target, Failing: ev.Failing})
 	case Probed:
-		m.examine(now, &health.Event{Kind: health.Probed, Target: ev.Target, Answered: ev.Answered})
+		m.examine(now, &health.Event{Kind: health.ProbeDone, Target: ev.Target, Responded: ev.Answered})
 	case Listed:
-		m.examine(now, &health.Event{Kind: health.Listed, Targets: ev.Targets})
+		m.examine(now, &health.Event{Kind: health.TargetsListed, Targets: ev.Targets})
 	case Publish:
 		m.govern(now, &rules.Event{Kind: rules.Publish, Doc: ev.Doc})
 	case Heard:
@@ -271,7 +271,7 @@
 		}
 	case len(m.raw) > 0 && m.raw[0] == health.Version && m.health != nil:
 		if m.signed(now, ev.From, m.hMsg.Parse(m.raw, m.digest)) {
-			m.examine(now, &health.Event{Kind: health.Heard, From: ev.From, Msg: &m.hMsg})
+			m.examine(now, &health.Event{Kind: health.MessageReceived, From: ev.From, Msg: &m.hMsg})
 		}
 	case len(m.raw) > 0 && m.raw[0] == shares.Version && m.shares != nil:
 		if m.signed(now, ev.From, m.sMsg.Parse(m.raw, m.digest)) {
@@ -352,17 +352,17 @@
 		return
 	}
 	ev.Holder, _, ev.Newest, ev.Number = m.standing(health.Duty, now)
-	ev.Living = m.members.Count()
+	ev.LiveMembers = m.members.Count()
 	m.wakes[2] = math.Inf(1)
 	m.hActs = m.health.Step(now, ev, m.hActs[:0])
 	for i := range m.hActs {
 		switch a := &m.hActs[i]; a.Kind {
-		case health.Tell:
+		case health.Send:
 			m.raw = a.Msg.Append(m.raw[:0], m.digest)
 			m.tell(a.To)
 		case health.Probe:
 			m.acts = append(m.acts, Action{Kind: Probe, Target: a.Target})
-		case health.Judged:
+		case health.Verdict:
 			m.acts = append(m.acts, Action{Kind: Judged, Duty: health.Duty, Number: a.Number, Target: a.Target, Lasts: a.Lasts})
 		case health.Wake:
 			m.wakes[2] = a.At
--- a/internal/fleet/health/health.go
+++ b/internal/fleet/health/health.go
@@ -1,14 +1,18 @@
-// Package health has one scheduler, the examiner, judge for all of them whether a target is ill, so
-// that three hundred do not each have to learn it by jobs of their own.
+// Package health lets one scheduler, the health checker, decide for the whole fleet whether a target
+// is unhealthy, so that each of up to three hundred schedulers need not find out by failed jobs of its
+// own.
 //
-// Whoever takes a target out of its own draw tells the examiner so: a doubt. Doubts of several
-// schedulers make the examiner look: a target that is said to be silent is probed, and judged ill only
-// if it does not answer the examiner either; one that is said to fail is judged on their word, as a
-// probe shows no more than that the process runs. A verdict is told to all the living, lasts for a
-// stated time, and is told again while it holds. docs/design/examiner.md says what that promises.
+// A scheduler that takes a target out of its own selection reports this suspicion to the health
+// checker. Suspicions from several schedulers make it act: a target that is reported as unresponsive
+// is probed, and declared unhealthy only if it does not respond to the health checker either. A target
+// that is reported as failing is declared unhealthy on the reports alone, because a probe shows only
+// that the process runs. A verdict is sent to all live members, is valid for a stated time, and is
+// repeated while it applies. docs/design/examiner.md gives the guarantees.
 //
-// It is a state machine without I/O. Which duty's number this scheduler acts under comes with each
-// event, read at that moment; verdicts carry it, and whoever has heard of a newer one refuses them.
+// The Machine is given events and returns actions; it performs no I/O and does not send probes itself.
+// Each event carries the fencing number under which this scheduler holds the duty, read at that
+// moment. Verdicts carry this number, and a receiver that knows a newer one refuses them. Times are in
+// milliseconds.
 package health
 
 import (
@@ -18,94 +22,94 @@
 	"slices"
 )
 
-// Duty is the name of the examiner's duty.
+// Duty is the name of the health checker's duty.
 const Duty = "examiner"
 
-// MaxTargets is how many targets are known; further ones are never judged.
+// MaxTargets is the maximum number of known targets; further targets get no verdict.
 const MaxTargets = 4096
 
 const (
-	doubtTells = 3     // tellings of a doubt, as each may be lost
-	wellTells  = 2     // and of a target's being well again, after which verdicts lapse anyway
-	probeIn    = 2000. // ms after which a probe that has not ended is asked for again
-	settle     = 20.   // ms between two tellings at least: what changes meanwhile goes together
-	mostDouble = 3     // a failing target's verdict doubles so many times
+	suspicionSends      = 3     // times a suspicion is sent, as each datagram may be lost
+	recoverySends       = 2     // times a recovery is sent; after that verdicts expire without it
+	probeTimeoutMS      = 2000. // ms after which an unfinished probe is requested again
+	minSendGapMS        = 20.   // minimum ms between two sends of verdicts; changes in between are sent together
+	maxVerdictDoublings = 3     // a failing target's verdict duration doubles up to this many times
 )
 
-// Config sets a machine up.
+// Config configures a Machine.
 type Config struct {
 	Self, Fleet int
-	Tellers     int     // so many schedulers must doubt a target, or half of the living where that is less
-	Window      float64 // ms that a doubt counts
-	Lasts       float64 // ms that a verdict counts from when it is heard
-	Every       float64 // ms between two tellings of what holds, and between two probes
-	Most        float64 // share of the listed targets that may be judged ill at once
+	Tellers     int     // schedulers that must suspect a target, or half of the live members if that is less
+	Window      float64 // ms that a suspicion counts
+	Lasts       float64 // ms that a verdict is valid from its receipt
+	Every       float64 // ms between two sends of the verdicts, and between two probes of a target
+	Most        float64 // maximum share of the listed targets that may be unhealthy at once
 }
 
-// Default is what an operator's file leaves out.
+// Default returns the values of settings that the operator's file omits.
 func Default() Config {
 	return Config{Tellers: 3, Window: 1500, Lasts: 1500, Every: 500, Most: 0.25}
 }
 
-// Check returns an error that names the setting that is impossible.
+// Check returns an error that names the first invalid setting.
 func (c *Config) Check() error {
 	switch {
 	case c.Fleet < 1 || c.Self < 0 || c.Self >= c.Fleet:
-		return fmt.Errorf("examiner: scheduler %d of %d", c.Self, c.Fleet)
+		return fmt.Errorf("examiner: scheduler %d of %d is out of range", c.Self, c.Fleet)
 	case c.Tellers < 1 || c.Tellers > 15:
-		return fmt.Errorf("examiner: tellers is %d, and may be 1 to 15", c.Tellers)
+		return fmt.Errorf("examiner: tellers is %d; it must be 1 to 15", c.Tellers)
 	case !(c.Window >= 100 && c.Window <= 60_000):
-		return fmt.Errorf("examiner: window is %gms, and may be 100ms to 1m", c.Window)
+		return fmt.Errorf("examiner: window is %gms; it must be 100ms to 1m", c.Window)
 	case !(c.Every >= 50 && c.Every <= 10_000):
-		return fmt.Errorf("examiner: every is %gms, and may be 50ms to 10s", c.Every)
+		return fmt.Errorf("examiner: every is %gms; it must be 50ms to 10s", c.Every)
 	case !(c.Lasts >= 2*c.Every && c.Lasts <= 60_000):
-		return fmt.Errorf("examiner: lasts is %gms, and may be from twice every (%gms) to 1m, or one lost word would end a verdict", c.Lasts, c.Every)
+		return fmt.Errorf("examiner: lasts is %gms; it must be from twice every (%gms) to 1m, or one lost datagram would end a verdict", c.Lasts, c.Every)
 	case !(c.Most > 0 && c.Most <= 0.5):
-		return fmt.Errorf("examiner: most is %g, and may be over 0 to 0.5", c.Most)
+		return fmt.Errorf("examiner: most is %g; it must be above 0 and at most 0.5", c.Most)
 	}
 	return nil
 }
 
-// EventKind tells events apart.
+// EventKind is the kind of an Event.
 type EventKind int
 
 // The kinds of events.
 const (
-	Due     EventKind = iota // the time asked for has come
-	Doubted                  // this scheduler has taken Target out of its draw; Failing: as it fails, not as it is silent
-	Probed                   // a probe of Target has ended; Answered: its process runs
-	Listed                   // Targets are all that there are
-	Heard                    // a message: From, Msg
+	Due             EventKind = iota // the requested wake-up time is reached
+	TargetSuspected                  // this scheduler took Target out of its selection; Failing: because it fails, otherwise because it does not respond
+	ProbeDone                        // a probe of Target ended; Responded: its process runs
+	TargetsListed                    // Targets is the complete list of targets
+	MessageReceived                  // a message was received: From, Msg
 )
 
-// Event is one thing that happened.
+// Event is one input to the Machine.
 type Event struct {
-	Kind     EventKind
-	Target   string
-	Failing  bool
-	Answered bool
-	Targets  []string
-	From     int
-	Msg      *Msg
-
-	Number uint64 // under which this scheduler holds the duty now; 0: it does not
-	Newest uint64 // the newest number heard of, whoever holds it
-	Holder int    // who holds it, as far as known; -1: nobody
-	Living int    // schedulers that are not taken for dead
+	Kind      EventKind
+	Target    string
+	Failing   bool
+	Responded bool
+	Targets   []string
+	From      int
+	Msg       *Msg
+
+	Number      uint64 // under which this scheduler holds the duty now; 0: it does not hold the duty
+	Newest      uint64 // newest number known, of any holder
+	Holder      int    // holder of the duty, as far as known; -1: unknown
+	LiveMembers int    // schedulers that are not declared dead
 }
 
-// ActionKind tells actions apart.
+// ActionKind is the kind of an Action.
 type ActionKind int
 
 // The kinds of actions.
 const (
-	Tell   ActionKind = iota // Msg, to scheduler To; -1: to all others that live. Good until the next Step
-	Probe                    // see whether Target answers; Probed tells
-	Judged                   // under Number: Target gets nothing for Lasts ms; 0: it may be tried again
-	Wake                     // ask for Due at At; a later one replaces it
+	Send    ActionKind = iota // send Msg to scheduler To; -1: to all other live members; Msg is valid until the next Step
+	Probe                     // probe Target; the result is reported as ProbeDone
+	Verdict                   // under Number: exclude Target for Lasts ms; 0: Target may be used again
+	Wake                      // deliver Due at At; replaces an earlier wake-up
 )
 
-// Action is one thing that the host must do, in order.
+// Action is one output of the Machine. The host carries out actions in order.
 type Action struct {
 	Kind   ActionKind
 	To     int
@@ -116,305 +120,309 @@
 	At     float64
 }
 
-// doubt is one scheduler's.
-type doubt struct {
-	who     int
-	at      float64
-	failing bool
+// suspicion is one scheduler's report about a target.
+type suspicion struct {
+	reporter int
+	at       float64
+	failing  bool
 }
 
-type target struct {
+// targetState is what a scheduler records about one target.
+type targetState struct {
 	id   string
-	name uint32
-
-	// Of this scheduler's own doubt.
-	tells   int // still to be made
-	tellAt  float64
-	failing bool
-	doubted float64
-
-	// As the examiner.
-	doubts   []doubt // at most Tellers, of different schedulers
-	ill      bool
-	fails    bool // judged as it fails, on others' word
-	illTo    float64
-	times    int // judged in a row
-	endedAt  float64
-	well     int // tellings left of its being well
-	probing  bool
-	probedAt float64
+	hash uint32
+
+	// This scheduler's own suspicion.
+	sendsLeft        int // sends of the suspicion that remain
+	sendAt           float64
+	suspectedFailing bool
+	suspectedAt      float64
+
+	// The state of the health checker.
+	suspicions        []suspicion // at most Config.Tellers, from different schedulers
+	unhealthy         bool
+	verdictFailing    bool // declared unhealthy because it fails, on the reports of others
+	unhealthyUntil    float64
+	verdictsInRow     int // consecutive verdicts
+	verdictEndedAt    float64
+	recoverySendsLeft int // sends of its recovery that remain
+	probing           bool
+	probedAt          float64
 }
 
-// Counts are a machine's figures.
+// Counts holds event counters.
 type Counts struct {
-	Stale    int // verdicts refused: under a number older than one heard of, or older than one taken
-	Bounded  int // targets not judged, as too many are already
-	Cleared  int // targets that several doubted, and that answered
-	Verdicts int // targets judged ill by this scheduler
+	Stale    int // verdicts refused, because a newer number is known or a newer verdict was applied
+	Capped   int // targets not declared unhealthy, because too many are already
+	Cleared  int // targets that several schedulers suspected and that responded to a probe
+	Verdicts int // targets declared unhealthy by this scheduler
 }
 
-// Machine is one scheduler's part of it.
+// Machine is one scheduler's part of the shared health checks. Create it with New.
 type Machine struct {
-	c       Config
-	targets []*target          // by id
-	byID    map[string]*target // and these
-	byName  map[uint32]*target // by what messages call them; nil where two are called alike
-	number  uint64             // that the examiner's state belongs to; 0: none
-	seq     uint32             // of its latest telling
-	saidAt  float64
-	changed bool   // since then
-	newest  uint64 // number under which a verdict was taken
-	heard   uint32 // and its place among that number's
-	acts    []Action
+	config       Config
+	targets      []*targetState          // sorted by id
+	byID         map[string]*targetState // the same targets, by id
+	byHash       map[uint32]*targetState // the same targets, by the hash used in messages; nil if two targets have the same hash
+	number       uint64                  // to which the health checker's state belongs; 0: not the health checker
+	seq          uint32                  // of its latest verdicts message
+	lastSentAt   float64
+	changed      bool   // since the last send
+	newestNumber uint64 // number of the latest applied verdict
+	newestSeq    uint32 // sequence number of the latest applied verdict under newestNumber
+	actions      []Action
 
 	Counts Counts
 }
 
-// New returns a machine that knows of no target.
-func New(c Config) (*Machine, error) {
-	if err := c.Check(); err != nil {
+// New returns a machine without targets.
+func New(config Config) (*Machine, error) {
+	if err := config.Check(); err != nil {
 		return nil, err
 	}
-	return &Machine{c: c, byID: map[string]*target{}, byName: map[uint32]*target{}, saidAt: math.Inf(-1)}, nil
+	return &Machine{config: config, byID: map[string]*targetState{}, byHash: map[uint32]*targetState{}, lastSentAt: math.Inf(-1)}, nil
 }
 
-// name is what messages call a target.
-func name(id string) uint32 {
+// targetHash returns the hash that identifies a target in messages.
+func targetHash(id string) uint32 {
 	h := fnv.New32a()
 	h.Write([]byte(id))
 	return h.Sum32()
 }
 
-// Step takes one event at the given time and appends the actions that answer it.
+// Step processes one event at the given time and appends the resulting actions to acts.
 func (m *Machine) Step(now float64, ev *Event, acts []Action) []Action {
-	m.acts = acts
-	if ev.Number != m.number { // gained, lost, or lost and gained since: what was found out before is another's
+	m.actions = acts
+	if ev.Number != m.number { // the duty was gained, lost, or lost and regained: discard what was found under the other number
 		m.number, m.seq, m.changed = ev.Number, 0, false
-		for _, t := range m.targets {
-			t.ill, t.fails, t.probing, t.well, t.times, t.doubts = false, false, false, 0, 0, t.doubts[:0]
+		for _, target := range m.targets {
+			target.unhealthy, target.verdictFailing, target.probing, target.recoverySendsLeft, target.verdictsInRow, target.suspicions = false, false, false, 0, 0, target.suspicions[:0]
 		}
 	}
 	switch ev.Kind {
-	case Doubted:
-		if t := m.byID[ev.Target]; t != nil && !t.ill {
-			t.tells, t.tellAt, t.doubted, t.failing = doubtTells, now, now, ev.Failing
+	case TargetSuspected:
+		if target := m.byID[ev.Target]; target != nil && !target.unhealthy {
+			target.sendsLeft, target.sendAt, target.suspectedAt, target.suspectedFailing = suspicionSends, now, now, ev.Failing
 		}
-	case Probed:
-		if t := m.byID[ev.Target]; t != nil && t.probing {
-			m.probed(now, t, ev)
+	case ProbeDone:
+		if target := m.byID[ev.Target]; target != nil && target.probing {
+			m.onProbeDone(now, target, ev)
 		}
-	case Listed:
-		m.list(ev.Targets)
-	case Heard:
+	case TargetsListed:
+		m.setTargets(ev.Targets)
+	case MessageReceived:
 		if ev.Msg.Kind == Verdicts {
-			m.obey(now, ev.Msg, ev.Newest)
-		} else if t := m.byName[ev.Msg.Entries[0].Target]; t != nil && m.number > 0 {
-			m.take(now, t, doubt{ev.From, now, ev.Msg.Entries[0].Failing}, ev)
+			m.applyVerdicts(now, ev.Msg, ev.Newest)
+		} else if target := m.byHash[ev.Msg.Entries[0].Target]; target != nil && m.number > 0 {
+			m.recordSuspicion(now, target, suspicion{ev.From, now, ev.Msg.Entries[0].Failing}, ev)
 		}
 	}
-	m.work(now, ev)
-	acts, m.acts = m.acts, nil
+	m.runTimers(now, ev)
+	acts, m.actions = m.actions, nil
 	return acts
 }
 
-func (m *Machine) do(a Action) { m.acts = append(m.acts, a) }
+func (m *Machine) emit(a Action) { m.actions = append(m.actions, a) }
 
-// list keeps what is known of the targets that stay.
-func (m *Machine) list(ids []string) {
+// setTargets replaces the list of targets and keeps the state of those that remain.
+func (m *Machine) setTargets(ids []string) {
 	ids = slices.Compact(slices.Sorted(slices.Values(ids)))
 	ids = ids[:min(len(ids), MaxTargets)]
 	old := m.byID
-	m.targets, m.byID, m.byName = nil, make(map[string]*target, len(ids)), make(map[uint32]*target, len(ids))
+	m.targets, m.byID, m.byHash = nil, make(map[string]*targetState, len(ids)), make(map[uint32]*targetState, len(ids))
 	for _, id := range ids {
-		t := old[id]
-		if t == nil {
-			t = &target{id: id, name: name(id), endedAt: math.Inf(-1)}
+		target := old[id]
+		if target == nil {
+			target = &targetState{id: id, hash: targetHash(id), verdictEndedAt: math.Inf(-1)}
 		}
-		m.targets, m.byID[id] = append(m.targets, t), t
-		if _, twice := m.byName[t.name]; twice {
-			t = nil // nobody can tell them apart: neither is judged
+		m.targets, m.byID[id] = append(m.targets, target), target
+		if _, twice := m.byHash[target.hash]; twice {
+			target = nil // the two are indistinguishable in messages, so neither gets a verdict
 		}
-		m.byName[name(id)] = t
+		m.byHash[targetHash(id)] = target
 	}
 }
 
-// take notes a doubt, and looks at the target once enough have it.
-func (m *Machine) take(now float64, t *target, d doubt, ev *Event) {
-	if m.byName[t.name] != t {
+// recordSuspicion records a suspicion, and checks the target once enough schedulers suspect it.
+func (m *Machine) recordSuspicion(now float64, target *targetState, report suspicion, ev *Event) {
+	if m.byHash[target.hash] != target {
 		return
 	}
-	t.doubts = slices.DeleteFunc(t.doubts, func(x doubt) bool { return x.who == d.who || now-x.at > m.c.Window })
-	if len(t.doubts) < m.c.Tellers {
-		t.doubts = append(t.doubts, d)
+	target.suspicions = slices.DeleteFunc(target.suspicions, func(x suspicion) bool { return x.reporter == report.reporter || now-x.at > m.config.Window })
+	if len(target.suspicions) < m.config.Tellers {
+		target.suspicions = append(target.suspicions, report)
 	}
-	if t.ill || !m.enough(t, ev) {
+	if target.unhealthy || !m.enoughReporters(target, ev) {
 		return
 	}
-	fails := 0
-	for _, x := range t.doubts {
+	failing := 0
+	for _, x := range target.suspicions {
 		if x.failing {
-			fails++
+			failing++
 		}
 	}
-	if 2*fails > len(t.doubts) {
-		m.judge(now, t, true)
-	} else if !t.probing {
-		m.probe(now, t)
+	if 2*failing > len(target.suspicions) {
+		m.declareUnhealthy(now, target, true)
+	} else if !target.probing {
+		m.startProbe(now, target)
 	}
 }
 
-// enough says whether so many doubt a target that it is looked at. Of few schedulers half is enough.
-func (m *Machine) enough(t *target, ev *Event) bool {
-	return len(t.doubts) >= max(1, min(m.c.Tellers, (ev.Living+1)/2))
+// enoughReporters reports whether enough schedulers suspect a target for it to be checked. In a small
+// fleet half of the live members is enough.
+func (m *Machine) enoughReporters(target *targetState, ev *Event) bool {
+	return len(target.suspicions) >= max(1, min(m.config.Tellers, (ev.LiveMembers+1)/2))
 }
 
-func (m *Machine) probe(now float64, t *target) {
-	t.probing, t.probedAt = true, now
-	m.do(Action{Kind: Probe, Target: t.id})
+func (m *Machine) startProbe(now float64, target *targetState) {
+	target.probing, target.probedAt = true, now
+	m.emit(Action{Kind: Probe, Target: target.id})
 }
 
-// probed draws from a probe's end what it says of a target that is said to be silent.
-func (m *Machine) probed(now float64, t *target, ev *Event) {
-	t.probing = false
+// onProbeDone evaluates the result of a probe of a target that was reported as unresponsive.
+func (m *Machine) onProbeDone(now float64, target *targetState, ev *Event) {
+	target.probing = false
 	switch {
-	case !ev.Answered && !t.ill:
-		if t.doubts = slices.DeleteFunc(t.doubts, func(x doubt) bool { return now-x.at > m.c.Window }); m.enough(t, ev) {
-			m.judge(now, t, false)
+	case !ev.Responded && !target.unhealthy:
+		if target.suspicions = slices.DeleteFunc(target.suspicions, func(x suspicion) bool { return now-x.at > m.config.Window }); m.enoughReporters(target, ev) {
+			m.declareUnhealthy(now, target, false)
 		}
-	case ev.Answered && t.ill && !t.fails:
-		m.end(now, t, wellTells)
-	case ev.Answered && !t.ill: // whoever doubts it is cut off from it, or wrong
-		t.doubts = t.doubts[:0]
+	case ev.Responded && target.unhealthy && !target.verdictFailing:
+		m.endVerdict(now, target, recoverySends)
+	case ev.Responded && !target.unhealthy: // the reporters cannot reach it, or are wrong
+		target.suspicions = target.suspicions[:0]
 		m.Counts.Cleared++
 	}
 }
 
-// judge calls a target ill, unless so many are that the fault must lie elsewhere.
-func (m *Machine) judge(now float64, t *target, fails bool) {
-	ill := 1
+// declareUnhealthy declares a target unhealthy, unless so many targets are that the fault is likely
+// elsewhere.
+func (m *Machine) declareUnhealthy(now float64, target *targetState, failing bool) {
+	unhealthy := 1
 	for _, x := range m.targets {
-		if x.ill {
-			ill++
+		if x.unhealthy {
+			unhealthy++
 		}
 	}
-	if ill > 1 && float64(ill) > m.c.Most*float64(len(m.targets)) || len(m.targets) < 2 {
-		m.Counts.Bounded++
-		t.doubts = t.doubts[:0]
+	if unhealthy > 1 && float64(unhealthy) > m.config.Most*float64(len(m.targets)) || len(m.targets) < 2 {
+		m.Counts.Capped++
+		target.suspicions = target.suspicions[:0]
 		return
 	}
-	if t.times++; now-t.endedAt > 8*m.c.Lasts {
-		t.times = 1
+	if target.verdictsInRow++; now-target.verdictEndedAt > 8*m.config.Lasts {
+		target.verdictsInRow = 1
 	}
 	m.Counts.Verdicts++
-	t.ill, t.fails, t.well, m.changed = true, fails, 0, true
-	t.illTo = now + m.c.Lasts*float64(int(1)<<min(t.times-1, mostDouble))
+	target.unhealthy, target.verdictFailing, target.recoverySendsLeft, m.changed = true, failing, 0, true
+	target.unhealthyUntil = now + m.config.Lasts*float64(int(1)<<min(target.verdictsInRow-1, maxVerdictDoublings))
 }
 
-// end ends a verdict: it lapses, or is taken back where the target was seen to answer.
-func (m *Machine) end(now float64, t *target, tells int) {
-	t.ill, t.endedAt, t.well, t.doubts = false, now, tells, t.doubts[:0]
-	m.changed = m.changed || tells > 0
+// endVerdict ends a verdict: it expires, or it is withdrawn because the target responded.
+func (m *Machine) endVerdict(now float64, target *targetState, recoverySendsLeft int) {
+	target.unhealthy, target.verdictEndedAt, target.recoverySendsLeft, target.suspicions = false, now, recoverySendsLeft, target.suspicions[:0]
+	m.changed = m.changed || recoverySendsLeft > 0
 }
 
-// obey takes verdicts in, unless a newer word is known.
-func (m *Machine) obey(now float64, x *Msg, newest uint64) {
-	if x.Number < max(newest, m.newest) || x.Number == m.newest && x.Seq <= m.heard {
+// applyVerdicts applies received verdicts, unless newer ones are known.
+func (m *Machine) applyVerdicts(now float64, msg *Msg, newest uint64) {
+	if msg.Number < max(newest, m.newestNumber) || msg.Number == m.newestNumber && msg.Seq <= m.newestSeq {
 		m.Counts.Stale++
 		return
 	}
-	m.newest, m.heard = x.Number, x.Seq
-	for _, e := range x.Entries {
-		if t := m.byName[e.Target]; t != nil {
-			t.tells = 0
-			if e.Well {
-				m.do(Action{Kind: Judged, Target: t.id, Number: x.Number})
+	m.newestNumber, m.newestSeq = msg.Number, msg.Seq
+	for _, e := range msg.Entries {
+		if target := m.byHash[e.Target]; target != nil {
+			target.sendsLeft = 0
+			if e.Healthy {
+				m.emit(Action{Kind: Verdict, Target: target.id, Number: msg.Number})
 			} else {
-				m.do(Action{Kind: Judged, Target: t.id, Number: x.Number, Lasts: x.Lasts})
+				m.emit(Action{Kind: Verdict, Target: target.id, Number: msg.Number, Lasts: msg.Lasts})
 			}
 		}
 	}
 }
 
-// work does what is due, and asks to be woken for the next of it.
-func (m *Machine) work(now float64, ev *Event) {
+// runTimers performs what is due and requests the next wake-up.
+func (m *Machine) runTimers(now float64, ev *Event) {
 	next := math.Inf(1)
 	busy := false
-	for _, t := range m.targets {
-		if t.tells > 0 && now-t.doubted > m.c.Window {
-			t.tells = 0
+	for _, target := range m.targets {
+		if target.sendsLeft > 0 && now-target.suspectedAt > m.config.Window {
+			target.sendsLeft = 0
 		}
-		if t.tells > 0 && t.tellAt <= now {
-			m.doubt(now, t, ev)
+		if target.sendsLeft > 0 && target.sendAt <= now {
+			m.sendSuspicion(now, target, ev)
 		}
-		if t.tells > 0 {
-			next = min(next, t.tellAt)
+		if target.sendsLeft > 0 {
+			next = min(next, target.sendAt)
 		}
-		if t.probing && now-t.probedAt > probeIn {
-			t.probing = false
+		if target.probing && now-target.probedAt > probeTimeoutMS {
+			target.probing = false
 		}
 		switch {
-		case !t.ill:
-		case t.fails && now >= t.illTo:
-			m.end(now, t, 0) // each tries it again by itself, at its own time
-		case t.fails:
-			next = min(next, t.illTo)
-		case !t.probing && now >= t.probedAt+m.c.Every:
-			m.probe(now, t)
-			next = min(next, now+probeIn+1)
-		case !t.probing:
-			next = min(next, t.probedAt+m.c.Every)
+		case !target.unhealthy:
+		case target.verdictFailing && now >= target.unhealthyUntil:
+			m.endVerdict(now, target, 0) // each scheduler tries it again by itself, at its own time
+		case target.verdictFailing:
+			next = min(next, target.unhealthyUntil)
+		case !target.probing && now >= target.probedAt+m.config.Every:
+			m.startProbe(now, target)
+			next = min(next, now+probeTimeoutMS+1)
+		case !target.probing:
+			next = min(next, target.probedAt+m.config.Every)
 		default:
-			next = min(next, t.probedAt+probeIn+1)
+			next = min(next, target.probedAt+probeTimeoutMS+1)
 		}
-		busy = busy || t.ill || t.well > 0
+		busy = busy || target.unhealthy || target.recoverySendsLeft > 0
 	}
 	if busy && m.number > 0 {
-		at := m.saidAt + m.c.Every
+		at := m.lastSentAt + m.config.Every
 		if m.changed {
-			at = m.saidAt + settle
+			at = m.lastSentAt + minSendGapMS
 		}
 		if now >= at {
-			m.say(now)
-			at = now + m.c.Every
+			m.sendVerdicts(now)
+			at = now + m.config.Every
 		}
 		next = min(next, at)
 	}
 	if !math.IsInf(next, 1) {
-		m.do(Action{Kind: Wake, At: next})
+		m.emit(Action{Kind: Wake, At: next})
 	}
 }
 
-// doubt tells the examiner of this scheduler's doubt; while there is none it waits for one.
-func (m *Machine) doubt(now float64, t *target, ev *Event) {
-	t.tellAt = now + m.c.Every/2
+// sendSuspicion reports this scheduler's suspicion to the health checker. While no holder of the duty
+// is known, the suspicion stays pending.
+func (m *Machine) sendSuspicion(now float64, target *targetState, ev *Event) {
+	target.sendAt = now + m.config.Every/2
 	switch {
 	case m.number > 0:
-		t.tells = 0
-		m.take(now, t, doubt{m.c.Self, now, t.failing}, ev)
-	case ev.Holder >= 0 && ev.Holder != m.c.Self:
-		t.tells--
-		msg := &Msg{Kind: Doubts, Entries: []Entry{{Target: t.name, Failing: t.failing}}}
-		m.do(Action{Kind: Tell, To: ev.Holder, Msg: msg})
+		target.sendsLeft = 0
+		m.recordSuspicion(now, target, suspicion{m.config.Self, now, target.suspectedFailing}, ev)
+	case ev.Holder >= 0 && ev.Holder != m.config.Self:
+		target.sendsLeft--
+		msg := &Msg{Kind: Suspicions, Entries: []Entry{{Target: target.hash, Failing: target.suspectedFailing}}}
+		m.emit(Action{Kind: Send, To: ev.Holder, Msg: msg})
 	}
 }
 
-// say tells all of what is ill, and of what is well again.
-func (m *Machine) say(now float64) {
-	m.saidAt, m.changed = now, false
+// sendVerdicts sends all other live members the unhealthy and the recovered targets.
+func (m *Machine) sendVerdicts(now float64) {
+	m.lastSentAt, m.changed = now, false
 	var entries []Entry
-	for _, t := range m.targets {
+	for _, target := range m.targets {
 		switch {
-		case t.ill:
-			entries = append(entries, Entry{Target: t.name, Failing: t.fails})
-		case t.well > 0:
-			t.well--
-			entries = append(entries, Entry{Target: t.name, Well: true})
+		case target.unhealthy:
+			entries = append(entries, Entry{Target: target.hash, Failing: target.verdictFailing})
+		case target.recoverySendsLeft > 0:
+			target.recoverySendsLeft--
+			entries = append(entries, Entry{Target: target.hash, Healthy: true})
 		}
 	}
 	for part := range slices.Chunk(entries, MaxEntries) {
 		m.seq++
-		msg := &Msg{Kind: Verdicts, Number: m.number, Seq: m.seq, Lasts: m.c.Lasts, Entries: part}
-		m.do(Action{Kind: Tell, To: -1, Msg: msg})
-		m.obey(now, msg, 0)
+		msg := &Msg{Kind: Verdicts, Number: m.number, Seq: m.seq, Lasts: m.config.Lasts, Entries: part}
+		m.emit(Action{Kind: Send, To: -1, Msg: msg})
+		m.applyVerdicts(now, msg, 0)
 	}
 }
--- a/internal/fleet/health/health_test.go
+++ b/internal/fleet/health/health_test.go
@@ -13,62 +13,63 @@
 	"cottonwell/internal/vtime"
 )
 
-// tier is some schedulers' machines in virtual time, with one examiner at a time by the test's word.
-type tier struct {
+// testFleet runs the machines of several schedulers in virtual time. The test sets which one is the
+// health checker.
+type testFleet struct {
 	vtime.Queue
-	t        require.TestingT
-	net      *faults.Net
-	m        []*Machine
-	wakes    []float64
-	holder   int // -1: nobody
-	number   uint64
-	deluded  int             // still believes to hold the duty, under its old number; -1: nobody
-	old      uint64          // that number
-	silent   map[string]bool // targets that answer no probe
-	left     []map[string]float64
-	probes   int
-	tells    int
-	judgedAt map[string]float64 // first time that all leave a target out
+	t             require.TestingT
+	network       *faults.Net
+	machines      []*Machine
+	wakes         []float64
+	holder        int // -1: no scheduler
+	number        uint64
+	staleHolder   int             // still acts as the holder of the duty, under its old number; -1: no scheduler
+	staleNumber   uint64          // its number
+	silent        map[string]bool // targets that do not respond to probes
+	excludedUntil []map[string]float64
+	probes        int
+	sends         int
+	allExcludedAt map[string]float64 // first time at which all schedulers exclude a target
 }
 
-var ids = []string{"a", "b", "c", "d", "e", "f", "g", "h"}
+var targetIDs = []string{"a", "b", "c", "d", "e", "f", "g", "h"}
 
-func start(t require.TestingT, n int, script faults.Script, seed uint64) *tier {
-	x := &tier{t: t, net: &faults.Net{Script: script, Base: 5, Rng: rand.New(rand.NewPCG(seed, 1))}, holder: 0, number: 10, deluded: -1,
-		silent: map[string]bool{}, judgedAt: map[string]float64{}}
+func newTestFleet(t require.TestingT, n int, script faults.Script, seed uint64) *testFleet {
+	x := &testFleet{t: t, network: &faults.Net{Script: script, Base: 5, Rng: rand.New(rand.NewPCG(seed, 1))}, holder: 0, number: 10, staleHolder: -1,
+		silent: map[string]bool{}, allExcludedAt: map[string]float64{}}
 	c := Default()
 	c.Fleet = n
 	for i := range n {
 		c.Self = i
 		m, err := New(c)
 		require.NoError(t, err)
-		x.m, x.wakes, x.left = append(x.m, m), append(x.wakes, math.Inf(1)), append(x.left, map[string]float64{})
-		x.step(i, Event{Kind: Listed, Targets: ids})
+		x.machines, x.wakes, x.excludedUntil = append(x.machines, m), append(x.wakes, math.Inf(1)), append(x.excludedUntil, map[string]float64{})
+		x.step(i, Event{Kind: TargetsListed, Targets: targetIDs})
 	}
 	return x
 }
 
-func (x *tier) step(i int, ev Event) {
-	ev.Holder, ev.Newest, ev.Living = x.holder, x.number, len(x.m)
+func (x *testFleet) step(i int, ev Event) {
+	ev.Holder, ev.Newest, ev.LiveMembers = x.holder, x.number, len(x.machines)
 	switch i {
-	case x.deluded: // it has heard of nothing newer
-		ev.Number, ev.Newest, ev.Holder = x.old, x.old, i
+	case x.staleHolder: // it knows of no newer number
+		ev.Number, ev.Newest, ev.Holder = x.staleNumber, x.staleNumber, i
 	case x.holder:
 		ev.Number = x.number
 	}
 	x.wakes[i] = math.Inf(1)
-	for _, a := range x.m[i].Step(x.Now, &ev, nil) {
+	for _, a := range x.machines[i].Step(x.Now, &ev, nil) {
 		switch a.Kind {
-		case Tell:
+		case Send:
 			raw := string(a.Msg.Append(nil, 7))
-			for to := range x.m {
+			for to := range x.machines {
 				if to != i && (a.To < 0 || a.To == to) {
-					x.tells++
-					for _, d := range x.net.Pass(x.Now, i, to, raw) {
+					x.sends++
+					for _, d := range x.network.Pass(x.Now, i, to, raw) {
 						x.After(d.After, func() {
 							var msg Msg
 							if msg.Parse([]byte(d.Raw), 7) == nil {
-								x.step(to, Event{Kind: Heard, From: i, Msg: &msg})
+								x.step(to, Event{Kind: MessageReceived, From: i, Msg: &msg})
 							}
 						})
 					}
@@ -76,11 +77,11 @@
 			}
 		case Probe:
 			x.probes++
-			x.After(10, func() { x.step(i, Event{Kind: Probed, Target: a.Target, Answered: !x.silent[a.Target]}) })
-		case Judged:
-			x.left[i][a.Target] = x.Now + a.Lasts
-			if _, known := x.judgedAt[a.Target]; !known && x.out(a.Target) == len(x.m) {
-				x.judgedAt[a.Target] = x.Now
+			x.After(10, func() { x.step(i, Event{Kind: ProbeDone, Target: a.Target, Responded: !x.silent[a.Target]}) })
+		case Verdict:
+			x.excludedUntil[i][a.Target] = x.Now + a.Lasts
+			if _, known := x.allExcludedAt[a.Target]; !known && x.excluding(a.Target) == len(x.machines) {
+				x.allExcludedAt[a.Target] = x.Now
 			}
 		case Wake:
 			x.wakes[i] = a.At
@@ -93,17 +94,17 @@
 	}
 }
 
-// out is how many leave a target out now.
-func (x *tier) out(target string) (n int) {
-	for i := range x.m {
-		if x.left[i][target] > x.Now {
+// excluding returns how many schedulers exclude a target now.
+func (x *testFleet) excluding(target string) (n int) {
+	for i := range x.machines {
+		if x.excludedUntil[i][target] > x.Now {
 			n++
 		}
 	}
 	return n
 }
 
-func (x *tier) run(ms float64) {
+func (x *testFleet) run(ms float64) {
 	for end := x.Now + ms; ; {
 		if !x.Next(end) {
 			x.Now = end
@@ -112,153 +113,154 @@
 	}
 }
 
-func (x *tier) doubt(target string, failing bool, who ...int) {
+func (x *testFleet) suspect(target string, failing bool, who ...int) {
 	for _, i := range who {
-		x.step(i, Event{Kind: Doubted, Target: target, Failing: failing})
+		x.step(i, Event{Kind: TargetSuspected, Target: target, Failing: failing})
 	}
 }
 
-func TestSilentTargetIsProbedAndLeftOutByAllUntilItAnswers(t *testing.T) {
-	x := start(t, 20, nil, 1)
+func TestUnresponsiveTargetIsProbedAndExcludedByAllUntilItResponds(t *testing.T) {
+	x := newTestFleet(t, 20, nil, 1)
 	x.silent["c"] = true
-	x.doubt("c", false, 3, 4, 5)
+	x.suspect("c", false, 3, 4, 5)
 	x.run(50)
-	require.Equal(t, 20, x.out("c"), "all leave it out")
-	require.Less(t, x.judgedAt["c"], 40.0)
+	require.Equal(t, 20, x.excluding("c"), "all schedulers exclude it")
+	require.Less(t, x.allExcludedAt["c"], 40.0)
 	x.run(5000)
-	require.Equal(t, 20, x.out("c"), "for as long as it is silent")
+	require.Equal(t, 20, x.excluding("c"), "while it does not respond")
 	x.silent["c"] = false
 	x.run(700)
-	require.Zero(t, x.out("c"))
+	require.Zero(t, x.excluding("c"))
 }
 
-func TestOneWrongTellerOrACutPartEmptiesNoGoodTarget(t *testing.T) {
-	x := start(t, 20, nil, 1)
+func TestSingleReporterOrPartitionedReportersExcludeNoHealthyTarget(t *testing.T) {
+	x := newTestFleet(t, 20, nil, 1)
 	for range 50 {
-		x.doubt("c", true, 3)
-		x.doubt("d", false, 3)
+		x.suspect("c", true, 3)
+		x.suspect("d", false, 3)
 		x.run(100)
 	}
-	require.Zero(t, x.out("c")+x.out("d"), "one teller")
+	require.Zero(t, x.excluding("c")+x.excluding("d"), "a single reporter")
 	require.Zero(t, x.probes)
-	x.doubt("d", false, 3, 4, 5, 6, 7, 8) // they are cut off from it, and the examiner is not
+	x.suspect("d", false, 3, 4, 5, 6, 7, 8) // these cannot reach it, but the health checker can
 	x.run(100)
-	require.Zero(t, x.out("d"))
-	require.Equal(t, 1, x.m[0].Counts.Cleared)
+	require.Zero(t, x.excluding("d"))
+	require.Equal(t, 1, x.machines[0].Counts.Cleared)
 }
 
-func TestFailingTargetIsJudgedOnTheWordOfSeveralAndTriedAgain(t *testing.T) {
-	x := start(t, 20, nil, 1)
-	held := 0.0
-	for round := range 3 { // it fails again each time that it is tried
-		x.doubt("c", true, 3, 4, 5)
+func TestFailingTargetIsExcludedOnSeveralReportsAndRetried(t *testing.T) {
+	x := newTestFleet(t, 20, nil, 1)
+	lastExclusion := 0.0
+	for round := range 3 { // it fails again each time it is tried
+		x.suspect("c", true, 3, 4, 5)
 		x.run(50)
-		require.Equal(t, 20, x.out("c"), "round %d", round)
+		require.Equal(t, 20, x.excluding("c"), "round %d", round)
 		begin := x.Now
-		for x.out("c") > 0 {
+		for x.excluding("c") > 0 {
 			x.run(10)
 		}
-		require.Greater(t, x.Now-begin, held, "left out for longer each time")
-		held = x.Now - begin
+		require.Greater(t, x.Now-begin, lastExclusion, "excluded for longer each time")
+		lastExclusion = x.Now - begin
 	}
 }
 
 func TestVerdictUnderAnOldNumberIsRefused(t *testing.T) {
-	x := start(t, 20, nil, 1)
-	x.deluded, x.old, x.holder, x.number = 0, 10, 1, 11 // 0 stood still, and 1 has the duty by now
+	x := newTestFleet(t, 20, nil, 1)
+	x.staleHolder, x.staleNumber, x.holder, x.number = 0, 10, 1, 11 // scheduler 0 was paused, and scheduler 1 holds the duty now
 	x.silent["c"], x.silent["d"] = true, true
-	x.doubt("d", false, 3, 4, 5)
+	x.suspect("d", false, 3, 4, 5)
 	x.run(100)
-	require.Equal(t, 20, x.out("d"))
+	require.Equal(t, 20, x.excluding("d"))
 	for _, who := range []int{3, 4, 5} {
-		msg := &Msg{Kind: Doubts, Entries: []Entry{{Target: name("c")}}}
-		x.step(0, Event{Kind: Heard, From: who, Msg: msg})
+		msg := &Msg{Kind: Suspicions, Entries: []Entry{{Target: targetHash("c")}}}
+		x.step(0, Event{Kind: MessageReceived, From: who, Msg: msg})
 	}
 	x.run(100)
-	require.LessOrEqual(t, x.out("c"), 1, "nobody but the deluded one")
-	require.Positive(t, x.m[5].Counts.Stale)
+	require.LessOrEqual(t, x.excluding("c"), 1, "no scheduler but the stale holder")
+	require.Positive(t, x.machines[5].Counts.Stale)
 }
 
-func TestWithoutAnExaminerVerdictsLapseAndDoubtsWait(t *testing.T) {
-	x := start(t, 20, nil, 1)
+func TestWithoutAHealthCheckerVerdictsExpireAndSuspicionsStayPending(t *testing.T) {
+	x := newTestFleet(t, 20, nil, 1)
 	x.silent["c"] = true
-	x.doubt("c", false, 3, 4, 5)
+	x.suspect("c", false, 3, 4, 5)
 	x.run(100)
-	require.Equal(t, 20, x.out("c"))
+	require.Equal(t, 20, x.excluding("c"))
 	x.holder = -1
 	x.run(Default().Lasts + 10)
-	require.Zero(t, x.out("c"), "each learns alone, as if there were none")
-	x.doubt("c", false, 3, 4, 5)
+	require.Zero(t, x.excluding("c"), "without a health checker each scheduler evaluates targets by itself")
+	x.suspect("c", false, 3, 4, 5)
 	x.run(500)
-	x.holder, x.number = 7, 12 // a new one; the doubts still count
+	x.holder, x.number = 7, 12 // a new holder; the suspicions still count
 	x.run(500)
-	require.Equal(t, 20, x.out("c"))
+	require.Equal(t, 20, x.excluding("c"))
 }
 
-func TestNoMoreThanAShareIsJudgedIll(t *testing.T) {
-	x := start(t, 20, nil, 1)
-	for _, id := range ids {
+func TestUnhealthyTargetsAreLimitedToAShare(t *testing.T) {
+	x := newTestFleet(t, 20, nil, 1)
+	for _, id := range targetIDs {
 		x.silent[id] = true
-		x.doubt(id, false, 3, 4, 5)
+		x.suspect(id, false, 3, 4, 5)
 	}
 	x.run(300)
-	ill := 0
-	for _, id := range ids {
-		ill += min(1, x.out(id))
+	unhealthy := 0
+	for _, id := range targetIDs {
+		unhealthy += min(1, x.excluding(id))
 	}
-	require.Equal(t, 2, ill, "a quarter of eight")
-	require.Positive(t, x.m[0].Counts.Bounded)
+	require.Equal(t, 2, unhealthy, "a quarter of eight targets")
+	require.Positive(t, x.machines[0].Counts.Capped)
 }
 
-func TestTargetsThatAreCalledAlikeAreNotJudged(t *testing.T) {
-	// Two ids with one hash, found by trying.
+func TestTargetsWithEqualHashesGetNoVerdict(t *testing.T) {
+	// Two ids with the same hash, found by search.
 	seen, a, b := map[uint32]string{}, "", ""
 	for i := 0; b == ""; i++ {
 		id := fmt.Sprint("s-", i)
-		if other, twice := seen[name(id)]; twice {
+		if other, twice := seen[targetHash(id)]; twice {
 			a, b = other, id
 		}
-		seen[name(id)] = id
+		seen[targetHash(id)] = id
 	}
-	x := start(t, 20, nil, 1)
-	for i := range x.m {
-		x.step(i, Event{Kind: Listed, Targets: []string{a, b, "c", "d", "c"}})
+	x := newTestFleet(t, 20, nil, 1)
+	for i := range x.machines {
+		x.step(i, Event{Kind: TargetsListed, Targets: []string{a, b, "c", "d", "c"}})
 	}
 	x.silent[a] = true
-	x.doubt(a, false, 3, 4, 5)
+	x.suspect(a, false, 3, 4, 5)
 	x.run(200)
-	require.Zero(t, x.out(a)+x.out(b))
-	x.step(0, Event{Kind: Listed, Targets: nil})
-	require.Empty(t, x.m[0].targets)
+	require.Zero(t, x.excluding(a)+x.excluding(b))
+	x.step(0, Event{Kind: TargetsListed, Targets: nil})
+	require.Empty(t, x.machines[0].targets)
 }
 
-// With a third of the words lost, and others late, doubled and changed, a silent target is left out by nearly
-// all, and a healthy one that one scheduler doubts by nobody.
-func TestUnderLoss(t *testing.T) {
-	long := faults.Script{{Kind: faults.Loss, Lasts: 1e6, Share: 0.3}, {Kind: faults.Jitter, Lasts: 1e6, Size: 40},
+// With 30 percent of the datagrams lost, and others delayed, duplicated and corrupted, an unresponsive
+// target is excluded by nearly all schedulers. A healthy target that one scheduler suspects is
+// excluded by none.
+func TestUnderPacketLoss(t *testing.T) {
+	script := faults.Script{{Kind: faults.Loss, Lasts: 1e6, Share: 0.3}, {Kind: faults.Jitter, Lasts: 1e6, Size: 40},
 		{Kind: faults.Duplicate, Lasts: 1e6, Share: 0.2, Size: 3000}, {Kind: faults.Corrupt, Lasts: 1e6, Share: 0.05}}
 	for seed := range uint64(100) {
 		n := 5 + int(seed)%56
-		x := start(t, n, long, seed)
+		x := newTestFleet(t, n, script, seed)
 		x.silent["c"] = true
-		left := 0
+		excluded := 0
 		for round := range 15 {
-			x.doubt("c", false, 1, 2, 3, 4)
-			x.doubt("d", true, 1)
+			x.suspect("c", false, 1, 2, 3, 4)
+			x.suspect("d", true, 1)
 			x.run(200)
 			if round >= 5 {
-				left += x.out("c")
+				excluded += x.excluding("c")
 			}
 		}
-		require.Greater(t, left, 8*n, "seed %d: of 10 looks at %d", seed, n)
+		require.Greater(t, excluded, 8*n, "seed %d: of 10 samples of %d schedulers", seed, n)
 		x.silent["c"] = false
-		x.run(3000 + Default().Lasts + 100) // the latest double has come by then
-		require.Zero(t, x.out("c"), "seed %d", seed)
-		require.Zero(t, x.out("d"), "seed %d", seed)
+		x.run(3000 + Default().Lasts + 100) // the latest duplicate has arrived by then
+		require.Zero(t, x.excluding("c"), "seed %d", seed)
+		require.Zero(t, x.excluding("d"), "seed %d", seed)
 	}
 }
 
-func TestReaderOfMessages(t *testing.T) {
+func TestParse(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		in := Msg{Kind: Verdicts, Number: rapid.Uint64().Draw(rt, "number"), Seq: rapid.Uint32().Draw(rt, "seq"), Lasts: 1500}
 		for range rapid.IntRange(1, MaxEntries).Draw(rt, "entries") {
@@ -275,7 +277,7 @@
 	})
 }
 
-func TestImpossibleSettings(t *testing.T) {
+func TestInvalidSettings(t *testing.T) {
 	for want, change := range map[string]func(*Config){
 		"scheduler 5 of 5":      func(c *Config) { c.Self = 5 },
 		"tellers is 0":          func(c *Config) { c.Tellers = 0 },
@@ -291,7 +293,7 @@
 		"lasts is 100000ms":     func(c *Config) { c.Lasts = 100_000 },
 		"window is 100000ms":    func(c *Config) { c.Window = 100_000 },
 		"scheduler -1 of 5":     func(c *Config) { c.Self = -1 },
-		"most is 0, and":        func(c *Config) { c.Most = 0 },
+		"most is 0; it":         func(c *Config) { c.Most = 0 },
 		"from twice every (500": func(c *Config) { c.Lasts = 999 },
 	} {
 		c := Default()
@@ -311,10 +313,10 @@
 	for i := range 200 {
 		many = append(many, fmt.Sprint("target-", i))
 	}
-	m.Step(0, &Event{Kind: Listed, Targets: many}, nil)
+	m.Step(0, &Event{Kind: TargetsListed, Targets: many}, nil)
 	var acts []Action
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		acts = m.Step(float64(i), &Event{Kind: Due, Holder: 1, Living: 300}, acts[:0])
+		acts = m.Step(float64(i), &Event{Kind: Due, Holder: 1, LiveMembers: 300}, acts[:0])
 	}
 }
--- a/internal/fleet/health/msg.go
+++ b/internal/fleet/health/msg.go
@@ -6,55 +6,56 @@
 	"cottonwell/internal/fleet/frame"
 )
 
-// MsgKind tells messages apart.
+// MsgKind is the kind of a message.
 type MsgKind byte
 
 // The kinds of messages.
 const (
-	Doubts   MsgKind = 1 + iota // to the examiner: I have taken this one out of my draw
-	Verdicts                    // to all: these are ill, or well again
+	Suspicions MsgKind = 1 + iota // to the health checker: the sender took this target out of its selection
+	Verdicts                      // to all: these targets are unhealthy, or healthy again
 )
 
-// Entry is what is said of one target.
+// Entry is a report about one target.
 type Entry struct {
 	Target  uint32 // the hash of its id
-	Failing bool   // it answers, and fails; else it is silent
-	Well    bool
+	Failing bool   // it responds, but fails; otherwise it does not respond
+	Healthy bool
 }
 
-// Msg is what schedulers say of targets.
+// Msg is a message between schedulers about targets.
 type Msg struct {
 	Kind    MsgKind
-	Number  uint64  // the examiner's
-	Seq     uint32  // of its tellings under that number
-	Lasts   float64 // ms, in steps of two
+	Number  uint64  // the health checker's fencing number
+	Seq     uint32  // of its messages under that number
+	Lasts   float64 // ms, encoded in steps of 2 ms
 	Entries []Entry
 }
 
-// Version is the first byte of a datagram that holds such a message.
+// Version is the first byte of a datagram with a health message.
 const Version = 0x52
 
 const (
-	fixed = 1 + 8 + 4 + 2
-	each  = 5
-	// MaxEntries is how many targets one message tells of.
-	MaxEntries = (frame.MaxSize - frame.Size - fixed) / each
+	fixedSize = 1 + 8 + 4 + 2
+	entrySize = 5
+	// MaxEntries is the maximum number of targets in one message.
+	MaxEntries = (frame.MaxSize - frame.Size - fixedSize) / entrySize
 )
 
 const (
-	failing = 1 << iota
-	well
+	failingFlag = 1 << iota
+	healthyFlag
 )
 
-// Append writes a message as a datagram. Digest is of what must be the same at both ends.
-func (x *Msg) Append(raw []byte, digest uint32) []byte {
-	raw = append(frame.Begin(raw, Version, digest), byte(x.Kind))
-	raw = binary.LittleEndian.AppendUint64(raw, x.Number)
-	raw = binary.LittleEndian.AppendUint32(raw, x.Seq)
-	raw = binary.LittleEndian.AppendUint16(raw, uint16(min(65535, max(0, x.Lasts/2+0.5))))
-	for _, e := range x.Entries[:min(len(x.Entries), MaxEntries)] {
+// Append encodes a message as a datagram and appends it to raw. digest is the hash of the
+// configuration that must be equal on both ends.
+func (msg *Msg) Append(raw []byte, digest uint32) []byte {
+	raw = append(frame.Begin(raw, Version, digest), byte(msg.Kind))
+	raw = binary.LittleEndian.AppendUint64(raw, msg.Number)
+	raw = binary.LittleEndian.AppendUint32(raw, msg.Seq)
+	raw = binary.LittleEndian.AppendUint16(raw, uint16(min(65535, max(0, msg.Lasts/2+0.5))))
+	for _, e := range msg.Entries[:min(len(msg.Entries), MaxEntries)] {
 		raw = binary.LittleEndian.AppendUint32(raw, e.Target)
-		raw = append(raw, byte(failing*btoi(e.Failing)|well*btoi(e.Well)))
+		raw = append(raw, byte(failingFlag*btoi(e.Failing)|healthyFlag*btoi(e.Healthy)))
 	}
 	return frame.Seal(raw)
 }
@@ -66,20 +67,20 @@
 	return 0
 }
 
-// Parse reads a datagram. It keeps nothing of it.
-func (x *Msg) Parse(raw []byte, digest uint32) error {
-	b, err := frame.Open(raw, Version, digest)
+// Parse decodes a datagram and retains no reference to it.
+func (msg *Msg) Parse(raw []byte, digest uint32) error {
+	body, err := frame.Open(raw, Version, digest)
 	if err != nil {
 		return err
 	}
-	n := (len(b) - fixed) / each
-	if len(b) <= fixed || len(b) != fixed+n*each || b[0] < byte(Doubts) || b[0] > byte(Verdicts) || b[0] == byte(Doubts) && n != 1 {
+	n := (len(body) - fixedSize) / entrySize
+	if len(body) <= fixedSize || len(body) != fixedSize+n*entrySize || body[0] < byte(Suspicions) || body[0] > byte(Verdicts) || body[0] == byte(Suspicions) && n != 1 {
 		return frame.ErrForm
 	}
-	*x = Msg{Kind: MsgKind(b[0]), Number: binary.LittleEndian.Uint64(b[1:]), Seq: binary.LittleEndian.Uint32(b[9:]),
-		Lasts: 2 * float64(binary.LittleEndian.Uint16(b[13:])), Entries: x.Entries[:0]}
-	for b = b[fixed:]; len(b) > 0; b = b[each:] {
-		x.Entries = append(x.Entries, Entry{binary.LittleEndian.Uint32(b), b[4]&failing != 0, b[4]&well != 0})
+	*msg = Msg{Kind: MsgKind(body[0]), Number: binary.LittleEndian.Uint64(body[1:]), Seq: binary.LittleEndian.Uint32(body[9:]),
+		Lasts: 2 * float64(binary.LittleEndian.Uint16(body[13:])), Entries: msg.Entries[:0]}
+	for body = body[fixedSize:]; len(body) > 0; body = body[entrySize:] {
+		msg.Entries = append(msg.Entries, Entry{binary.LittleEndian.Uint32(body), body[4]&failingFlag != 0, body[4]&healthyFlag != 0})
 	}
 	return nil
 }
