--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -226,7 +226,7 @@
 		m.member(now, &members.Event{Kind: members.Due})
 		m.lease(now, &lease.Event{Kind: lease.Due, Wall: ev.Wall})
 		m.examine(now, &health.Event{Kind: health.Due})
-		m.account(now, &shares.Event{Kind: shares.Due, Asked: ev.Asked})
+		m.account(now, &shares.Event{Kind: shares.Due, Requests: ev.Asked})
 		m.govern(now, &rules.Event{Kind: rules.Due})
 	case Doubted:
 		m.examine(now, &health.Event{Kind: health.TargetSuspected, Target: ev.Target, Failing: ev.Failing})
@@ -275,7 +275,7 @@
 		}
 	case len(m.raw) > 0 && m.raw[0] == shares.Version && m.shares != nil:
 		if m.signed(now, ev.From, m.sMsg.Parse(m.raw, m.digest)) {
-			m.account(now, &shares.Event{Kind: shares.Heard, From: ev.From, Msg: &m.sMsg})
+			m.account(now, &shares.Event{Kind: shares.MessageReceived, From: ev.From, Msg: &m.sMsg})
 		}
 	case len(m.raw) > 0 && m.raw[0] == rules.Format && m.rules != nil:
 		if m.signed(now, ev.From, m.rMsg.Parse(m.raw, m.digest)) {
@@ -402,10 +402,10 @@
 	m.sActs = m.shares.Step(now, ev, m.sActs[:0])
 	for i := range m.sActs {
 		switch a := &m.sActs[i]; a.Kind {
-		case shares.Tell:
+		case shares.Send:
 			m.raw = a.Msg.Append(m.raw[:0], m.digest)
 			m.tell(a.To)
-		case shares.Shared:
+		case shares.PartsChanged:
 			m.acts = append(m.acts, Action{Kind: Shared, Duty: shares.Duty, Number: a.Number, Lasts: a.Lasts, Parts: a.Parts})
 		case shares.Wake:
 			m.wakes[3] = a.At
@@ -441,7 +441,7 @@
 						agreed[name] = *t.Allowance
 					}
 				}
-				m.shares.Allow(agreed)
+				m.shares.SetAllowances(agreed)
 			}
 		case rules.Adopted:
 			out.Kind = Adopted
--- a/internal/fleet/shares/msg.go
+++ b/internal/fleet/shares/msg.go
@@ -7,61 +7,63 @@
 	"cottonwell/internal/fleet/frame"
 )
 
-// MsgKind tells messages apart.
+// MsgKind is the kind of a message.
 type MsgKind byte
 
 // The kinds of messages.
 const (
-	Asks  MsgKind = 1 + iota // to the accountant: so many requests a second came to me, by tenant
-	Parts                    // to all: of what each tenant asks, this part lies within its share
+	Usage MsgKind = 1 + iota // to the usage aggregator: the sender's requests per second, by tenant
+	Parts                    // to all: the fraction of each tenant's requests that is within its share
 )
 
-// Msg is what schedulers say of tenants.
+// Msg is a message between schedulers about tenants.
 type Msg struct {
-	Kind    MsgKind
-	Key     uint32    // of the tenants
-	Number  uint64    // the accountant's; of Asks the teller's life
-	Seq     uint32    // of its tellings
-	Lasts   float64   // ms, in steps of two
-	Figures []float32 // by tenant
+	Kind       MsgKind
+	TenantsKey uint32    // hash of the tenants' names
+	Number     uint64    // Parts: the usage aggregator's fencing number; Usage: the sender's Config.Life
+	Seq        uint32    // the sender's sequence number
+	Lasts      float64   // ms, encoded in steps of 2 ms
+	Figures    []float32 // by tenant; Usage: requests per second; Parts: fraction from 0 to 1
 }
 
-// Version is the first byte of a datagram that holds such a message.
+// Version is the first byte of a datagram with a shares message.
 const Version = 0x53
 
-const fixed = 1 + 4 + 8 + 4 + 2
+const fixedSize = 1 + 4 + 8 + 4 + 2
 
-// Append writes a message as a datagram. Digest is of what must be the same at both ends.
-func (x *Msg) Append(raw []byte, digest uint32) []byte {
-	raw = append(frame.Begin(raw, Version, digest), byte(x.Kind))
-	raw = binary.LittleEndian.AppendUint32(raw, x.Key)
-	raw = binary.LittleEndian.AppendUint64(raw, x.Number)
-	raw = binary.LittleEndian.AppendUint32(raw, x.Seq)
-	raw = binary.LittleEndian.AppendUint16(raw, uint16(min(65535, max(0, x.Lasts/2+0.5))))
-	for _, f := range x.Figures[:min(len(x.Figures), MaxTenants)] {
+// Append encodes a message as a datagram and appends it to raw. digest is the hash of the
+// configuration that must be equal on both ends.
+func (msg *Msg) Append(raw []byte, digest uint32) []byte {
+	raw = append(frame.Begin(raw, Version, digest), byte(msg.Kind))
+	raw = binary.LittleEndian.AppendUint32(raw, msg.TenantsKey)
+	raw = binary.LittleEndian.AppendUint64(raw, msg.Number)
+	raw = binary.LittleEndian.AppendUint32(raw, msg.Seq)
+	raw = binary.LittleEndian.AppendUint16(raw, uint16(min(65535, max(0, msg.Lasts/2+0.5))))
+	for _, f := range msg.Figures[:min(len(msg.Figures), MaxTenants)] {
 		raw = binary.LittleEndian.AppendUint32(raw, math.Float32bits(f))
 	}
 	return frame.Seal(raw)
 }
 
-// Parse reads a datagram. It keeps nothing of it. A figure that can be none makes it unreadable.
-func (x *Msg) Parse(raw []byte, digest uint32) error {
-	b, err := frame.Open(raw, Version, digest)
+// Parse decodes a datagram and retains no reference to it. A figure that is negative, not a number or
+// too large makes the datagram invalid.
+func (msg *Msg) Parse(raw []byte, digest uint32) error {
+	body, err := frame.Open(raw, Version, digest)
 	if err != nil {
 		return err
 	}
-	n := (len(b) - fixed) / 4
-	if len(b) <= fixed || len(b) != fixed+4*n || n > MaxTenants || b[0] < byte(Asks) || b[0] > byte(Parts) {
+	n := (len(body) - fixedSize) / 4
+	if len(body) <= fixedSize || len(body) != fixedSize+4*n || n > MaxTenants || body[0] < byte(Usage) || body[0] > byte(Parts) {
 		return frame.ErrForm
 	}
-	*x = Msg{Kind: MsgKind(b[0]), Key: binary.LittleEndian.Uint32(b[1:]), Number: binary.LittleEndian.Uint64(b[5:]), Seq: binary.LittleEndian.Uint32(b[13:]),
-		Lasts: 2 * float64(binary.LittleEndian.Uint16(b[17:])), Figures: x.Figures[:0]}
-	for b = b[fixed:]; len(b) > 0; b = b[4:] {
-		f := math.Float32frombits(binary.LittleEndian.Uint32(b))
+	*msg = Msg{Kind: MsgKind(body[0]), TenantsKey: binary.LittleEndian.Uint32(body[1:]), Number: binary.LittleEndian.Uint64(body[5:]), Seq: binary.LittleEndian.Uint32(body[13:]),
+		Lasts: 2 * float64(binary.LittleEndian.Uint16(body[17:])), Figures: msg.Figures[:0]}
+	for body = body[fixedSize:]; len(body) > 0; body = body[4:] {
+		f := math.Float32frombits(binary.LittleEndian.Uint32(body))
 		if !(f >= 0 && f < 1e9) {
 			return frame.ErrForm
 		}
-		x.Figures = append(x.Figures, f)
+		msg.Figures = append(msg.Figures, f)
 	}
 	return nil
 }
--- a/internal/fleet/shares/shares.go
+++ b/internal/fleet/shares/shares.go
@@ -1,13 +1,15 @@
-// Package shares has one scheduler, the accountant, add up what each tenant asks for over the whole
-// fleet, so that traffic beyond a tenant's share is known in need. Each scheduler sees a thin part of it,
-// and no two see the same.
+// Package shares lets one scheduler, the usage aggregator, add up the requests of each tenant over the
+// whole fleet, so that traffic beyond a tenant's share can be identified when capacity is short. Each
+// scheduler receives only a small part of the traffic, and no two receive the same part.
 //
-// Each tells the accountant how many requests of each tenant came to it lately. The accountant tells
-// all the living which part of what each tenant asks lies within its share, for as long as some tenant
-// asks for more than that. docs/design/accountant.md says what that promises.
+// Each scheduler reports its recent request rate per tenant to the usage aggregator. While some tenant
+// exceeds its share, the usage aggregator sends all live members the fraction of each tenant's
+// requests that is within its share. docs/design/accountant.md gives the guarantees.
 //
-// It is a state machine without I/O. Which duty's number this scheduler acts under comes with each
-// event, read at that moment; what it tells carries it, and whoever has heard of a newer one refuses it.
+// The Machine is given events (request counts, messages, timers) and returns actions. It performs no
+// I/O and rejects no requests itself. Each event carries the fencing number under which this scheduler
+// holds the duty, read at that moment. Messages of the usage aggregator carry this number, and a
+// receiver that knows a newer one refuses them. Times are in milliseconds.
 package shares
 
 import (
@@ -17,289 +19,291 @@
 	"slices"
 )
 
-// Duty is the name of the accountant's duty.
+// Duty is the name of the usage aggregator's duty.
 const Duty = "accountant"
 
-// MaxTenants is how many are told apart; what further ones ask is taken to lie within their shares.
+// MaxTenants is the maximum number of tenants with separate counts. All requests of further tenants
+// are treated as within their shares.
 const MaxTenants = 32
 
 const (
-	silent = 3    // tellings' time that a new accountant only listens, as each word may be lost
-	keeps  = 4    // tellings' time that a scheduler's word counts
-	smooth = 0.5  // of the newest sum in what is told
-	over   = 1.02 // times its share that a tenant asks for before it is told of
-	ends   = 2    // tellings of that nobody does so any more, after which parts lapse anyway
+	warmupRounds    = 3    // report intervals in which a new usage aggregator only receives, as each report may be lost
+	maxAgeRounds    = 4    // report intervals for which a scheduler's report counts
+	newestWeight    = 0.5  // weight of the newest sum in the moving average
+	overShareFactor = 1.02 // multiple of its share at which a tenant is reported
+	endSends        = 2    // messages sent after no tenant exceeds its share any more; afterwards the fractions expire
 )
 
-// Tenant is one who shares the fleet.
+// Tenant is a tenant with a share of the fleet.
 type Tenant struct {
 	Name      string
-	Allowance float64 // requests a second, over the fleet, that lie within its share
+	Allowance float64 // requests per second over the whole fleet that are within its share
 }
 
-// Config sets a machine up. Tenants and times must be the same at all schedulers.
+// Config configures a Machine. Tenants and times must be the same on all schedulers.
 type Config struct {
 	Self, Fleet int
-	Life        uint32 // drawn at each start: an earlier run's words are not this one's
+	Life        uint32 // random number of this run; separates its reports from those of an earlier run
 	Tenants     []Tenant
-	Every       float64 // ms between two tellings, to the accountant and by it
-	Lasts       float64 // ms that what was told counts from when it is heard
+	Every       float64 // ms between two reports to the usage aggregator, and between two messages from it
+	Lasts       float64 // ms that its message is valid from receipt
 }
 
-// Default is what an operator's file leaves out.
+// Default returns the values of settings that the operator's file omits.
 func Default() Config { return Config{Every: 500, Lasts: 3000} }
 
-// Check returns an error that names the setting that is impossible.
+// Check returns an error that names the first invalid setting.
 func (c *Config) Check() error {
 	switch {
 	case c.Fleet < 1 || c.Self < 0 || c.Self >= c.Fleet:
-		return fmt.Errorf("accountant: scheduler %d of %d", c.Self, c.Fleet)
+		return fmt.Errorf("accountant: scheduler %d of %d is out of range", c.Self, c.Fleet)
 	case len(c.Tenants) == 0:
 		return fmt.Errorf("accountant: the settings name no tenants with shares")
 	case !(c.Every >= 50 && c.Every <= 10_000):
-		return fmt.Errorf("accountant: every is %gms, and may be 50ms to 10s", c.Every)
-	case !(c.Lasts >= (silent+1)*c.Every && c.Lasts <= 60_000):
-		return fmt.Errorf("accountant: lasts is %gms, and may be from four times every (%gms) to 1m, or a new accountant would begin too late", c.Lasts, c.Every)
+		return fmt.Errorf("accountant: every is %gms; it must be 50ms to 10s", c.Every)
+	case !(c.Lasts >= (warmupRounds+1)*c.Every && c.Lasts <= 60_000):
+		return fmt.Errorf("accountant: lasts is %gms; it must be from four times every (%gms) to 1m, or a new usage aggregator would start too late", c.Lasts, c.Every)
 	}
 	seen := map[string]bool{}
 	for _, t := range c.Tenants {
 		if t.Name == "" || seen[t.Name] || !(t.Allowance > 0 && t.Allowance < 1e9) {
-			return fmt.Errorf("accountant: tenant %q has no name of its own, or the allowance of %g requests a second", t.Name, t.Allowance)
+			return fmt.Errorf("accountant: tenant %q has no unique name, or an invalid allowance of %g requests per second", t.Name, t.Allowance)
 		}
 		seen[t.Name] = true
 	}
 	return nil
 }
 
-// EventKind tells events apart.
+// EventKind is the kind of an Event.
 type EventKind int
 
 // The kinds of events.
 const (
-	Due   EventKind = iota // the time asked for has come: Asked
-	Heard                  // a message: From, Msg
+	Due             EventKind = iota // the requested wake-up time is reached: Requests
+	MessageReceived                  // a message was received: From, Msg
 )
 
-// Event is one thing that happened.
+// Event is one input to the Machine.
 type Event struct {
-	Kind  EventKind
-	Asked []uint64 // requests that came to this scheduler since its start, by tenant; nil: not looked at
-	From  int
-	Msg   *Msg
+	Kind     EventKind
+	Requests []uint64 // requests received by this scheduler since its start, by tenant; nil: not counted
+	From     int
+	Msg      *Msg
 
-	Number uint64 // under which this scheduler holds the duty now; 0: it does not
-	Newest uint64 // the newest number heard of, whoever holds it
-	Holder int    // who holds it, as far as known; -1: nobody
+	Number uint64 // under which this scheduler holds the duty now; 0: it does not hold the duty
+	Newest uint64 // newest number known, of any holder
+	Holder int    // holder of the duty, as far as known; -1: unknown
 }
 
-// ActionKind tells actions apart.
+// ActionKind is the kind of an Action.
 type ActionKind int
 
 // The kinds of actions.
 const (
-	Tell   ActionKind = iota // Msg, to scheduler To; -1: to all others that live. Good until the next Step
-	Shared                   // under Number, for Lasts ms: Parts
-	Wake                     // ask for Due at At; a later one replaces it
+	Send         ActionKind = iota // send Msg to scheduler To; -1: to all other live members; Msg is valid until the next Step
+	PartsChanged                   // under Number, Parts applies for Lasts ms
+	Wake                           // deliver Due at At; replaces an earlier wake-up
 )
 
-// Action is one thing that the host must do, in order.
+// Action is one output of the Machine. The host carries out actions in order.
 type Action struct {
 	Kind   ActionKind
 	To     int
 	Msg    *Msg
-	Parts  map[string]float64 // by tenant: the part of what it asks that lies within its share; those that keep to it are left out
+	Parts  map[string]float64 // by tenant: fraction of its requests that is within its share; tenants within their share are omitted
 	Number uint64
 	Lasts  float64
 	At     float64
 }
 
-// teller is what the accountant keeps of one scheduler.
-type teller struct {
-	at    float64
-	life  uint32
-	seq   uint32
-	rates []float32 // requests a second, by tenant
+// reporter is what the usage aggregator records about one scheduler.
+type reporter struct {
+	receivedAt float64
+	runID      uint32
+	seq        uint32
+	rates      []float32 // requests per second, by tenant
 }
 
-// Counts are a machine's figures.
+// Counts holds event counters.
 type Counts struct {
-	Stale int // words refused: under a number older than one heard of, or older than one taken
-	Odd   int // of schedulers that know other tenants
+	Stale      int // messages refused, because a newer number is known or a newer message was applied
+	Mismatched int // messages refused, because the sender is configured with other tenants
 }
 
-// Machine is one scheduler's part of it.
+// Machine is one scheduler's part of the shared usage counts. Create it with New.
 type Machine struct {
-	c      Config
-	first  []float64 // allowances of the start
-	key    uint32    // of the tenants: who knows others is not understood
-	asked  []uint64
-	lookAt float64 // when they were counted last; negative: not yet
-	nextAt float64
-	rates  []float32
-	seq    uint32 // of this scheduler's latest telling to an accountant
-	newest uint64 // number under which parts were taken
-	heard  uint32 // and their place among that number's
+	config            Config
+	initialAllowances []float64 // configured allowances, which apply unless others are agreed on
+	tenantsKey        uint32    // hash of the tenants' names; messages with another key are refused
+	requests          []uint64
+	countedAt         float64 // time of the last count; negative: never
+	nextReportAt      float64
+	rates             []float32
+	seq               uint32 // of this scheduler's latest report
+	newestNumber      uint64 // number of the latest applied Parts
+	newestSeq         uint32 // sequence number of the latest applied Parts under newestNumber
 
-	// As the accountant.
-	number  uint64 // that all this belongs to; 0: none
-	since   float64
-	told    uint32 // its latest telling
-	quits   int    // tellings left of that nobody asks for too much
-	tellers []teller
-	sums    []float64
-	acts    []Action
+	// The state of the usage aggregator.
+	number       uint64 // to which this state belongs; 0: not the usage aggregator
+	since        float64
+	partsSeq     uint32 // sequence number of its latest message
+	endSendsLeft int    // messages still to be sent after no tenant exceeds its share
+	reporters    []reporter
+	rateSums     []float64
+	actions      []Action
 
 	Counts Counts
 }
 
-// New returns a machine. Its first event, Due, should come at once.
-func New(c Config, now float64) (*Machine, error) {
-	if err := c.Check(); err != nil {
+// New returns a machine. Its first event, Due, should be passed to Step immediately.
+func New(config Config, now float64) (*Machine, error) {
+	if err := config.Check(); err != nil {
 		return nil, err
 	}
-	c.Tenants = c.Tenants[:min(len(c.Tenants), MaxTenants)]
+	config.Tenants = config.Tenants[:min(len(config.Tenants), MaxTenants)]
 	h := fnv.New32a()
-	for _, t := range c.Tenants {
+	for _, t := range config.Tenants {
 		h.Write([]byte(t.Name + "\x00"))
 	}
-	c.Tenants = slices.Clone(c.Tenants) // allowances may be agreed on anew
-	n := len(c.Tenants)
-	m := &Machine{c: c, key: h.Sum32(), lookAt: -1, asked: make([]uint64, n), rates: make([]float32, n), tellers: make([]teller, c.Fleet), sums: make([]float64, n)}
-	// Each at a moment of its own, or the accountant would hear all of them at once.
-	m.nextAt = now + c.Every*(float64(c.Self)+0.5)/float64(c.Fleet)
-	for _, t := range c.Tenants {
-		m.first = append(m.first, t.Allowance)
+	config.Tenants = slices.Clone(config.Tenants) // allowances may be changed by SetAllowances
+	n := len(config.Tenants)
+	m := &Machine{config: config, tenantsKey: h.Sum32(), countedAt: -1, requests: make([]uint64, n), rates: make([]float32, n), reporters: make([]reporter, config.Fleet), rateSums: make([]float64, n)}
+	// Reports are staggered, so that the usage aggregator does not receive all of them at once.
+	m.nextReportAt = now + config.Every*(float64(config.Self)+0.5)/float64(config.Fleet)
+	for _, t := range config.Tenants {
+		m.initialAllowances = append(m.initialAllowances, t.Allowance)
 	}
 	return m, nil
 }
 
-// Step takes one event at the given time and appends the actions that answer it.
+// Step processes one event at the given time and appends the resulting actions to acts.
 func (m *Machine) Step(now float64, ev *Event, acts []Action) []Action {
-	m.acts = acts
-	if ev.Number != m.number { // gained, lost, or lost and gained since: what was added up before is another's
-		m.number, m.since, m.told, m.quits = ev.Number, now, 0, 0
-		clear(m.sums)
-		for i := range m.tellers {
-			m.tellers[i].at = math.Inf(-1)
+	m.actions = acts
+	if ev.Number != m.number { // the duty was gained, lost, or lost and regained: discard what was added up under the other number
+		m.number, m.since, m.partsSeq, m.endSendsLeft = ev.Number, now, 0, 0
+		clear(m.rateSums)
+		for i := range m.reporters {
+			m.reporters[i].receivedAt = math.Inf(-1)
 		}
 	}
-	if ev.Kind == Heard {
-		m.hear(now, ev)
+	if ev.Kind == MessageReceived {
+		m.receive(now, ev)
 	}
-	if now >= m.nextAt && ev.Asked != nil {
-		m.nextAt = max(m.nextAt+m.c.Every, now+m.c.Every/2)
-		m.count(now, ev.Asked)
+	if now >= m.nextReportAt && ev.Requests != nil {
+		m.nextReportAt = max(m.nextReportAt+m.config.Every, now+m.config.Every/2)
+		m.updateRates(now, ev.Requests)
 		switch {
 		case m.number > 0:
-			m.take(now, m.c.Self, m.c.Life, m.seq, m.rates)
-			m.tell(now)
-		case ev.Holder >= 0 && ev.Holder != m.c.Self:
-			m.do(Action{Kind: Tell, To: ev.Holder, Msg: &Msg{Kind: Asks, Key: m.key, Number: uint64(m.c.Life), Seq: m.seq, Figures: m.rates}})
+			m.recordUsage(now, m.config.Self, m.config.Life, m.seq, m.rates)
+			m.sendParts(now)
+		case ev.Holder >= 0 && ev.Holder != m.config.Self:
+			m.emit(Action{Kind: Send, To: ev.Holder, Msg: &Msg{Kind: Usage, TenantsKey: m.tenantsKey, Number: uint64(m.config.Life), Seq: m.seq, Figures: m.rates}})
 		}
 	}
-	m.do(Action{Kind: Wake, At: m.nextAt})
-	acts, m.acts = m.acts, nil
+	m.emit(Action{Kind: Wake, At: m.nextReportAt})
+	acts, m.actions = m.actions, nil
 	return acts
 }
 
-// Allow sets allowances that the schedulers agreed on, over those of the start; 0 or none: as they were then.
-func (m *Machine) Allow(agreed map[string]float64) {
-	for i := range m.c.Tenants {
-		t := &m.c.Tenants[i]
-		t.Allowance = m.first[i]
+// SetAllowances sets the allowances that the schedulers agreed on. A tenant with no or zero agreed
+// allowance gets its configured one.
+func (m *Machine) SetAllowances(agreed map[string]float64) {
+	for i := range m.config.Tenants {
+		t := &m.config.Tenants[i]
+		t.Allowance = m.initialAllowances[i]
 		if x := agreed[t.Name]; x > 0 {
 			t.Allowance = x
 		}
 	}
 }
 
-func (m *Machine) do(a Action) { m.acts = append(m.acts, a) }
+func (m *Machine) emit(a Action) { m.actions = append(m.actions, a) }
 
-// count reckons how many requests a second came to this scheduler since it looked last.
-func (m *Machine) count(now float64, asked []uint64) {
+// updateRates computes the requests per second that this scheduler received since the last count.
+func (m *Machine) updateRates(now float64, requests []uint64) {
 	for i := range m.rates {
 		m.rates[i] = 0
-		if m.lookAt >= 0 && now > m.lookAt && asked[i] > m.asked[i] {
-			m.rates[i] = float32(1000 * float64(asked[i]-m.asked[i]) / (now - m.lookAt))
+		if m.countedAt >= 0 && now > m.countedAt && requests[i] > m.requests[i] {
+			m.rates[i] = float32(1000 * float64(requests[i]-m.requests[i]) / (now - m.countedAt))
 		}
 	}
-	copy(m.asked, asked)
-	m.lookAt = now
+	copy(m.requests, requests)
+	m.countedAt = now
 	m.seq++
 }
 
-func (m *Machine) hear(now float64, ev *Event) {
-	x := ev.Msg
-	if x.Key != m.key || len(x.Figures) != len(m.c.Tenants) {
-		m.Counts.Odd++
+func (m *Machine) receive(now float64, ev *Event) {
+	msg := ev.Msg
+	if msg.TenantsKey != m.tenantsKey || len(msg.Figures) != len(m.config.Tenants) {
+		m.Counts.Mismatched++
 		return
 	}
-	if x.Kind == Parts {
-		m.obey(x, ev.Newest)
-	} else if m.number > 0 && ev.From >= 0 && ev.From < len(m.tellers) {
-		m.take(now, ev.From, uint32(x.Number), x.Seq, x.Figures)
+	if msg.Kind == Parts {
+		m.applyParts(msg, ev.Newest)
+	} else if m.number > 0 && ev.From >= 0 && ev.From < len(m.reporters) {
+		m.recordUsage(now, ev.From, uint32(msg.Number), msg.Seq, msg.Figures)
 	}
 }
 
-// take notes what a scheduler was asked for, unless it has said something newer since.
-func (m *Machine) take(now float64, who int, life, seq uint32, rates []float32) {
-	t := &m.tellers[who]
-	if t.life == life && seq <= t.seq && !math.IsInf(t.at, -1) {
+// recordUsage records a scheduler's report, unless a newer report of the same run was recorded.
+func (m *Machine) recordUsage(now float64, scheduler int, runID, seq uint32, rates []float32) {
+	reporter := &m.reporters[scheduler]
+	if reporter.runID == runID && seq <= reporter.seq && !math.IsInf(reporter.receivedAt, -1) {
 		m.Counts.Stale++
 		return
 	}
-	t.at, t.life, t.seq, t.rates = now, life, seq, append(t.rates[:0], rates...)
+	reporter.receivedAt, reporter.runID, reporter.seq, reporter.rates = now, runID, seq, append(reporter.rates[:0], rates...)
 }
 
-// tell adds up, and tells all of it while some tenant asks for more than its share. Who has not told for
-// so long that its word counts no more is dead, or cut off: what it is asked for is not known here, and
-// sums that are too small only put off what would be done in need.
-func (m *Machine) tell(now float64) {
-	listens := now < m.since+silent*m.c.Every // not all have told yet
-	parts, some := make([]float32, len(m.c.Tenants)), false
-	for i, t := range m.c.Tenants {
+// sendParts adds up the reported rates and sends the resulting fractions while some tenant exceeds its
+// share. A scheduler whose last report is too old to count is dead or isolated, so its requests are
+// unknown here. Sums that are too small only delay the treatment of traffic beyond the shares.
+func (m *Machine) sendParts(now float64) {
+	warmingUp := now < m.since+warmupRounds*m.config.Every // not all schedulers have reported yet
+	parts, overShare := make([]float32, len(m.config.Tenants)), false
+	for i, t := range m.config.Tenants {
 		sum := 0.0
-		for k := range m.tellers {
-			if x := &m.tellers[k]; now-x.at <= keeps*m.c.Every {
-				sum += float64(x.rates[i])
+		for k := range m.reporters {
+			if reporter := &m.reporters[k]; now-reporter.receivedAt <= maxAgeRounds*m.config.Every {
+				sum += float64(reporter.rates[i])
 			}
 		}
-		if listens {
-			m.sums[i] = sum
+		if warmingUp {
+			m.rateSums[i] = sum
 		}
-		m.sums[i] += smooth * (sum - m.sums[i])
+		m.rateSums[i] += newestWeight * (sum - m.rateSums[i])
 		parts[i] = 1
-		if m.sums[i] > over*t.Allowance {
-			parts[i], some = float32(t.Allowance/m.sums[i]), true
+		if m.rateSums[i] > overShareFactor*t.Allowance {
+			parts[i], overShare = float32(t.Allowance/m.rateSums[i]), true
 		}
 	}
-	if listens {
+	if warmingUp {
 		return
 	}
-	if some {
-		m.quits = ends
-	} else if m.quits--; m.quits < 0 {
-		m.quits = 0
+	if overShare {
+		m.endSendsLeft = endSends
+	} else if m.endSendsLeft--; m.endSendsLeft < 0 {
+		m.endSendsLeft = 0
 		return
 	}
-	m.told++
-	x := &Msg{Kind: Parts, Key: m.key, Number: m.number, Seq: m.told, Lasts: m.c.Lasts, Figures: parts}
-	m.do(Action{Kind: Tell, To: -1, Msg: x})
-	m.obey(x, 0)
+	m.partsSeq++
+	msg := &Msg{Kind: Parts, TenantsKey: m.tenantsKey, Number: m.number, Seq: m.partsSeq, Lasts: m.config.Lasts, Figures: parts}
+	m.emit(Action{Kind: Send, To: -1, Msg: msg})
+	m.applyParts(msg, 0)
 }
 
-// obey takes what an accountant told, unless a newer word is known.
-func (m *Machine) obey(x *Msg, newest uint64) {
-	if x.Number < max(newest, m.newest) || x.Number == m.newest && x.Seq <= m.heard {
+// applyParts applies a message of the usage aggregator, unless a newer one is known.
+func (m *Machine) applyParts(msg *Msg, newest uint64) {
+	if msg.Number < max(newest, m.newestNumber) || msg.Number == m.newestNumber && msg.Seq <= m.newestSeq {
 		m.Counts.Stale++
 		return
 	}
-	m.newest, m.heard = x.Number, x.Seq
+	m.newestNumber, m.newestSeq = msg.Number, msg.Seq
 	parts := map[string]float64{}
-	for i, t := range m.c.Tenants {
-		if x.Figures[i] < 1 {
-			parts[t.Name] = float64(x.Figures[i])
+	for i, t := range m.config.Tenants {
+		if msg.Figures[i] < 1 {
+			parts[t.Name] = float64(msg.Figures[i])
 		}
 	}
-	m.do(Action{Kind: Shared, Parts: parts, Number: x.Number, Lasts: x.Lasts})
+	m.emit(Action{Kind: PartsChanged, Parts: parts, Number: msg.Number, Lasts: msg.Lasts})
 }
