--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,7 +1,10 @@
-// Package fleet puts together what the schedulers of a tier know of one another and agree on: who
-// lives (members), who holds which duty (leases), which targets are ill (health), and what lies beyond
-// tenants' shares (shares). It is a state machine without I/O: events in, actions out.
-// docs/design/duties.md says what it promises.
+// Package fleet combines what the schedulers of a tier know about one another and agree on: which
+// schedulers are live (members), which scheduler holds which duty (leases), which targets are
+// unhealthy (health), the traffic beyond tenants' shares (shares), and the agreed settings (rules).
+//
+// The Machine is given events (datagrams, timers, reports of the host) and returns actions (datagrams
+// to send, duties, verdicts and settings to apply). It performs no I/O, and it does not route requests
+// or probe targets itself. Times are in milliseconds. docs/design/duties.md gives the guarantees.
 package fleet
 
 import (
@@ -18,17 +21,17 @@
 	"cottonwell/internal/fleet/shares"
 )
 
-// Config sets a fleet's machine up.
+// Config configures a Machine.
 type Config struct {
 	Members   members.Config
 	Lease     lease.Config
-	Health    *health.Config // nil: nobody examines targets
-	Shares    *shares.Config // nil: nobody adds up what tenants ask for
-	Rules     *rules.Config  // nil: each goes by what it was started with
+	Health    *health.Config // nil disables the shared health checks
+	Shares    *shares.Config // nil disables the shared usage counts
+	Rules     *rules.Config  // nil disables agreed settings: each scheduler uses its own
 	Addresses []string       // of the schedulers, by number
 }
 
-// Check returns an error that names the setting that is impossible.
+// Check returns an error that names the first invalid setting.
 func (c *Config) Check() error {
 	if err := c.Members.Check(); err != nil {
 		return err
@@ -53,17 +56,17 @@
 	}
 	for name, on := range map[string]bool{health.Duty: c.Health != nil, shares.Duty: c.Shares != nil, rules.Duty: c.Rules != nil} {
 		if on && !slices.ContainsFunc(c.Lease.Duties, func(d lease.Duty) bool { return d.Name == name }) {
-			return fmt.Errorf("fleet: there is no duty %q", name)
+			return fmt.Errorf("fleet: duty %q is not configured", name)
 		}
 	}
 	if len(c.Addresses) != c.Lease.Fleet || c.Members.Fleet != c.Lease.Fleet || c.Members.Self != c.Lease.Self {
-		return fmt.Errorf("fleet: %d addresses, %d schedulers, %d members", len(c.Addresses), c.Lease.Fleet, c.Members.Fleet)
+		return fmt.Errorf("fleet: %d addresses, %d schedulers and %d members do not match, or the scheduler numbers differ", len(c.Addresses), c.Lease.Fleet, c.Members.Fleet)
 	}
 	return nil
 }
 
-// Digest is of what must be the same at all: who votes, and for how long a vote counts. A list that
-// grows at its end is another list, but the same fleet.
+// Digest returns a hash of the settings that must be equal on all schedulers: the voters and the
+// duration of a lease. Appending schedulers to the list of addresses does not change the digest.
 func (c *Config) Digest() uint32 {
 	h := fnv.New32a()
 	for _, x := range []float64{float64(c.Lease.Voters), c.Lease.Lease, c.Lease.Drift} {
@@ -78,21 +81,21 @@
 	return h.Sum32()
 }
 
-// EventKind tells events apart.
+// EventKind is the kind of an Event.
 type EventKind int
 
 // The kinds of events.
 const (
-	Due     EventKind = iota // the time asked for has come; Asked
-	Heard                    // a datagram: From, Raw
-	Resign                   // this scheduler is to end
-	Doubted                  // it has taken Target out of its draw: Failing
-	Probed                   // a probe of Target has ended: Answered
-	Listed                   // Targets are all that there are
-	Publish                  // Doc is to be put in force
+	Due     EventKind = iota // the requested wake-up time is reached: Asked
+	Heard                    // a datagram was received: From, Raw
+	Resign                   // this scheduler shuts down
+	Doubted                  // this scheduler took Target out of its selection: Failing
+	Probed                   // a probe of Target ended: Answered
+	Listed                   // Targets is the complete list of targets
+	Publish                  // Doc is to be put into force
 )
 
-// Event is one thing that happened.
+// Event is one input to the Machine. Kind determines which fields are used.
 type Event struct {
 	Kind EventKind
 	Wall float64 // ms of the wall clock
@@ -103,34 +106,34 @@
 	Failing  bool
 	Answered bool
 	Targets  []string
-	Zones    map[string]string // of these
+	Zones    map[string]string // zones of Targets
 	Doc      *rules.Doc
-	Asked    []uint64 // requests that came here since the start, by tenant; where shares are added up
+	Asked    []uint64 // requests received by this scheduler since its start, by tenant; if Config.Shares is set
 }
 
-// ActionKind tells actions apart.
+// ActionKind is the kind of an Action.
 type ActionKind int
 
 // The kinds of actions.
 const (
-	Tell    ActionKind = iota // a datagram: To, Raw
-	Wake                      // ask for Due at At; a later one replaces it
-	Gained                    // a duty is held from now on: Duty, Number, Note
-	Lost                      // it is held no more: Duty, Number, Note is the reason
-	Took                      // an act of To under Number was taken
-	Refused                   // and one was not, as a newer number has been heard of
-	Learnt                    // To holds a duty under Number, by a voter's word or its own
-	Changed                   // what is believed of To: State
-	Probe                     // see whether Target answers
-	Judged                    // under Duty's Number: Target gets nothing for Lasts ms; 0: it may be tried again
-	Rule                      // act on Doc, of Version, until At; Strict: it is its strict form, and has no end
-	Adopted                   // all that live act on Version
-	Dropped                   // the document Digest is put aside, as To does not take it: Note
-	Alarm                     // something that cannot be: Note, of Version
-	Shared                    // under Duty's Number, for Lasts ms: of what tenants ask, Parts lie within their shares
+	Tell    ActionKind = iota // send a datagram: To, Raw
+	Wake                      // deliver Due at At; replaces an earlier wake-up
+	Gained                    // this scheduler holds a duty from now on: Duty, Number, Note
+	Lost                      // this scheduler no longer holds a duty: Duty, Number; Note is the reason
+	Took                      // an act of To under Number was accepted
+	Refused                   // an act of To under Number was refused, because a newer number is known
+	Learnt                    // To holds a duty under Number, as reported by a voter or by To
+	Changed                   // the state of member To changed: State
+	Probe                     // probe Target
+	Judged                    // under Duty's Number: exclude Target for Lasts ms; 0: Target may be used again
+	Rule                      // apply Doc, of Version, until At; Strict: Doc is its strict form and has no end
+	Adopted                   // all live members apply Version
+	Dropped                   // the document Digest is dropped, because To does not accept it: Note
+	Alarm                     // an inconsistency was detected: Note, of Version
+	Shared                    // under Duty's Number, for Lasts ms: Parts are the fractions of tenants' requests within their shares
 )
 
-// Action is one thing that the host must do, in order.
+// Action is one output of the Machine. The host carries out actions in order.
 type Action struct {
 	Kind   ActionKind
 	To     int
@@ -150,179 +153,181 @@
 	Strict  bool
 }
 
-// Machine is one scheduler's part of the fleet.
+// Machine is one scheduler's part of the fleet. Create it with New.
 type Machine struct {
-	c       Config
-	digest  uint32
-	members *members.Machine
-	leases  *lease.Machine
-	health  *health.Machine // nil while that is off
-	shares  *shares.Machine // likewise
-	rules   *rules.Machine  // likewise
-	duties  map[string]int
-	wakes   [5]float64 // of the members, of the leases, of what examines, of what adds up and of the rules
-	wakeAt  float64
-	alive   []bool
-	msg     members.Msg
-	mActs   []members.Action
-	lActs   []lease.Action
-	hActs   []health.Action
-	hMsg    health.Msg
-	sActs   []shares.Action
-	sMsg    shares.Msg
-	rActs   []rules.Action
-	rMsg    rules.Msg
-	raw     []byte
-	acts    []Action
-
-	// Unreadable counts datagrams that could not be read: cut off, changed, of another version or fleet.
+	config         Config
+	digest         uint32
+	members        *members.Machine
+	leases         *lease.Machine
+	health         *health.Machine // nil if disabled
+	shares         *shares.Machine // nil if disabled
+	rules          *rules.Machine  // nil if disabled
+	dutyIndex      map[string]int
+	wakes          [5]float64 // wake-up times of members, leases, health, shares and rules, in this order
+	wakeAt         float64
+	alive          []bool
+	membersMsg     members.Msg
+	membersActions []members.Action
+	leaseActions   []lease.Action
+	healthActions  []health.Action
+	healthMsg      health.Msg
+	sharesActions  []shares.Action
+	sharesMsg      shares.Msg
+	rulesActions   []rules.Action
+	rulesMsg       rules.Msg
+	raw            []byte
+	actions        []Action
+
+	// Unreadable counts datagrams that could not be decoded: truncated, corrupted, or of another
+	// version or fleet.
 	Unreadable int
 }
 
-// New returns a machine that has just begun. Its first event, Due, should come at once.
-func New(c Config, now float64) (*Machine, error) {
-	if err := c.Check(); err != nil {
+// New returns a newly started machine. Its first event, Due, should be passed to Step immediately.
+func New(config Config, now float64) (*Machine, error) {
+	if err := config.Check(); err != nil {
 		return nil, err
 	}
-	m := &Machine{c: c, digest: c.Digest(), duties: map[string]int{}, wakeAt: math.Inf(1),
-		alive: make([]bool, c.Lease.Fleet)}
+	m := &Machine{config: config, digest: config.Digest(), dutyIndex: map[string]int{}, wakeAt: math.Inf(1),
+		alive: make([]bool, config.Lease.Fleet)}
 	for i := range m.wakes {
 		m.wakes[i] = math.Inf(1)
 	}
 	var err error
-	if m.members, err = members.New(c.Members, now); err != nil {
+	if m.members, err = members.New(config.Members, now); err != nil {
 		return nil, err
 	}
-	if m.leases, err = lease.New(c.Lease, now); err != nil {
+	if m.leases, err = lease.New(config.Lease, now); err != nil {
 		return nil, err
 	}
-	for i, d := range c.Lease.Duties {
-		m.duties[d.Name] = i
+	for i, d := range config.Lease.Duties {
+		m.dutyIndex[d.Name] = i
 	}
-	if c.Health != nil {
-		if m.health, err = health.New(*c.Health); err != nil {
+	if config.Health != nil {
+		if m.health, err = health.New(*config.Health); err != nil {
 			return nil, err
 		}
 	}
-	if c.Shares != nil {
-		if m.shares, err = shares.New(*c.Shares, now); err != nil {
+	if config.Shares != nil {
+		if m.shares, err = shares.New(*config.Shares, now); err != nil {
 			return nil, err
 		}
 	}
-	if c.Rules != nil {
-		if m.rules, err = rules.New(*c.Rules, now); err != nil {
+	if config.Rules != nil {
+		if m.rules, err = rules.New(*config.Rules, now); err != nil {
 			return nil, err
 		}
 	}
 	return m, nil
 }
 
-// Step takes one event at the given time and appends the actions that answer it.
+// Step processes one event at the given time and appends the resulting actions to acts.
 func (m *Machine) Step(now float64, ev *Event, acts []Action) []Action {
-	m.acts = acts
+	m.actions = acts
 	switch ev.Kind {
 	case Due:
-		m.wakeAt = math.Inf(1) // each is looked at; none minds being asked too early, as a clock may round
-		m.member(now, &members.Event{Kind: members.Due})
-		m.lease(now, &lease.Event{Kind: lease.Due, Wall: ev.Wall})
-		m.examine(now, &health.Event{Kind: health.Due})
-		m.account(now, &shares.Event{Kind: shares.Due, Requests: ev.Asked})
-		m.govern(now, &rules.Event{Kind: rules.Due})
+		m.wakeAt = math.Inf(1) // all parts get the event; each tolerates an early Due, as the host's clock may round
+		m.stepMembers(now, &members.Event{Kind: members.Due})
+		m.stepLeases(now, &lease.Event{Kind: lease.Due, Wall: ev.Wall})
+		m.stepHealth(now, &health.Event{Kind: health.Due})
+		m.stepShares(now, &shares.Event{Kind: shares.Due, Requests: ev.Asked})
+		m.stepRules(now, &rules.Event{Kind: rules.Due})
 	case Doubted:
-		m.examine(now, &health.Event{Kind: health.TargetSuspected, Target: ev.Target, Failing: ev.Failing})
+		m.stepHealth(now, &health.Event{Kind: health.TargetSuspected, Target: ev.Target, Failing: ev.Failing})
 	case Probed:
-		m.examine(now, &health.Event{Kind: health.ProbeDone, Target: ev.Target, Responded: ev.Answered})
+		m.stepHealth(now, &health.Event{Kind: health.ProbeDone, Target: ev.Target, Responded: ev.Answered})
 	case Listed:
-		m.examine(now, &health.Event{Kind: health.TargetsListed, Targets: ev.Targets})
+		m.stepHealth(now, &health.Event{Kind: health.TargetsListed, Targets: ev.Targets})
 	case Publish:
-		m.govern(now, &rules.Event{Kind: rules.Publish, Doc: ev.Doc})
+		m.stepRules(now, &rules.Event{Kind: rules.Publish, Doc: ev.Doc})
 	case Heard:
-		m.heard(now, ev)
+		m.receive(now, ev)
 	case Resign:
-		m.lease(now, &lease.Event{Kind: lease.Resign, Wall: ev.Wall})
-		m.member(now, &members.Event{Kind: members.Leave})
+		m.stepLeases(now, &lease.Event{Kind: lease.Resign, Wall: ev.Wall})
+		m.stepMembers(now, &members.Event{Kind: members.Leave})
 	}
 	if at := slices.Min(m.wakes[:]); at < m.wakeAt {
 		m.wakeAt = at
-		m.acts = append(m.acts, Action{Kind: Wake, At: at})
+		m.actions = append(m.actions, Action{Kind: Wake, At: at})
 	}
-	acts, m.acts = m.acts, nil
+	acts, m.actions = m.actions, nil
 	return acts
 }
 
-// Reads says whether a datagram is one of the fleet's, and not of those that tell of load.
+// Reads reports whether a datagram is one of the fleet's protocols, and not a load report.
 func Reads(raw string) bool {
 	return len(raw) > 0 && slices.Contains([]byte{members.Version, lease.Version, health.Version, shares.Version, rules.Format}, raw[0])
 }
 
-func (m *Machine) heard(now float64, ev *Event) {
+func (m *Machine) receive(now float64, ev *Event) {
 	m.raw = append(m.raw[:0], ev.Raw...)
 	switch {
 	case len(m.raw) > 0 && m.raw[0] == members.Version:
-		if m.msg.Parse(m.raw, m.digest) != nil {
+		if m.membersMsg.Parse(m.raw, m.digest) != nil {
 			m.Unreadable++
 			return
 		}
-		m.member(now, &members.Event{Kind: members.MessageReceived, From: ev.From, Msg: &m.msg})
+		m.stepMembers(now, &members.Event{Kind: members.MessageReceived, From: ev.From, Msg: &m.membersMsg})
 	case len(m.raw) > 0 && m.raw[0] == lease.Version:
 		e := lease.Event{Kind: lease.MessageReceived, Wall: ev.Wall, From: ev.From}
-		if m.signed(now, ev.From, e.Msg.Parse(m.raw, m.digest)) {
-			m.lease(now, &e)
+		if m.recordContact(now, ev.From, e.Msg.Parse(m.raw, m.digest)) {
+			m.stepLeases(now, &e)
 		}
 	case len(m.raw) > 0 && m.raw[0] == health.Version && m.health != nil:
-		if m.signed(now, ev.From, m.hMsg.Parse(m.raw, m.digest)) {
-			m.examine(now, &health.Event{Kind: health.MessageReceived, From: ev.From, Msg: &m.hMsg})
+		if m.recordContact(now, ev.From, m.healthMsg.Parse(m.raw, m.digest)) {
+			m.stepHealth(now, &health.Event{Kind: health.MessageReceived, From: ev.From, Msg: &m.healthMsg})
 		}
 	case len(m.raw) > 0 && m.raw[0] == shares.Version && m.shares != nil:
-		if m.signed(now, ev.From, m.sMsg.Parse(m.raw, m.digest)) {
-			m.account(now, &shares.Event{Kind: shares.MessageReceived, From: ev.From, Msg: &m.sMsg})
+		if m.recordContact(now, ev.From, m.sharesMsg.Parse(m.raw, m.digest)) {
+			m.stepShares(now, &shares.Event{Kind: shares.MessageReceived, From: ev.From, Msg: &m.sharesMsg})
 		}
 	case len(m.raw) > 0 && m.raw[0] == rules.Format && m.rules != nil:
-		if m.signed(now, ev.From, m.rMsg.Parse(m.raw, m.digest)) {
-			m.govern(now, &rules.Event{Kind: rules.Heard, From: ev.From, Msg: &m.rMsg})
+		if m.recordContact(now, ev.From, m.rulesMsg.Parse(m.raw, m.digest)) {
+			m.stepRules(now, &rules.Event{Kind: rules.Heard, From: ev.From, Msg: &m.rulesMsg})
 		}
-	default: // some other word: whoever sent it lives
-		m.member(now, &members.Event{Kind: members.Contact, From: ev.From})
+	default: // a datagram of another protocol: its sender is alive
+		m.stepMembers(now, &members.Event{Kind: members.Contact, From: ev.From})
 	}
 }
 
-// signed counts a datagram that could not be read, and takes any other one for a sign that its sender lives.
-func (m *Machine) signed(now float64, from int, err error) bool {
+// recordContact counts a datagram that could not be decoded. Any other datagram is recorded as a
+// contact with its sender.
+func (m *Machine) recordContact(now float64, from int, err error) bool {
 	if err != nil {
 		m.Unreadable++
 		return false
 	}
-	m.member(now, &members.Event{Kind: members.Contact, From: from})
+	m.stepMembers(now, &members.Event{Kind: members.Contact, From: from})
 	return true
 }
 
-func (m *Machine) member(now float64, ev *members.Event) {
-	m.mActs = m.members.Step(now, ev, m.mActs[:0])
+func (m *Machine) stepMembers(now float64, ev *members.Event) {
+	m.membersActions = m.members.Step(now, ev, m.membersActions[:0])
 	changed := false
-	for i := range m.mActs {
-		switch a := &m.mActs[i]; a.Kind {
+	for i := range m.membersActions {
+		switch a := &m.membersActions[i]; a.Kind {
 		case members.Send:
 			m.raw = a.Msg.Append(m.raw[:0], m.digest)
-			m.acts = append(m.acts, Action{Kind: Tell, To: a.To, Raw: string(m.raw)})
+			m.actions = append(m.actions, Action{Kind: Tell, To: a.To, Raw: string(m.raw)})
 		case members.Wake:
 			m.wakes[0] = a.At
 		case members.Changed:
 			changed = true
-			m.acts = append(m.acts, Action{Kind: Changed, To: a.Member, State: a.State})
+			m.actions = append(m.actions, Action{Kind: Changed, To: a.Member, State: a.State})
 		}
 	}
 	if changed {
 		for i := range m.alive {
 			m.alive[i] = m.members.Alive(i)
 		}
-		m.lease(now, &lease.Event{Kind: lease.MembersChanged, Alive: m.alive})
+		m.stepLeases(now, &lease.Event{Kind: lease.MembersChanged, Alive: m.alive})
 	}
 }
 
-func (m *Machine) lease(now float64, ev *lease.Event) {
-	m.lActs = m.leases.Step(now, ev, m.lActs[:0])
-	for i := range m.lActs {
-		a := &m.lActs[i]
+func (m *Machine) stepLeases(now float64, ev *lease.Event) {
+	m.leaseActions = m.leases.Step(now, ev, m.leaseActions[:0])
+	for i := range m.leaseActions {
+		a := &m.leaseActions[i]
 		out := Action{To: a.To, Number: a.Number}
 		switch a.Kind {
 		case lease.Send:
@@ -332,102 +337,103 @@
 			m.wakes[1] = a.At
 			continue
 		case lease.Gained:
-			out.Kind, out.Duty, out.Note = Gained, m.c.Lease.Duties[a.Duty].Name, a.Note
+			out.Kind, out.Duty, out.Note = Gained, m.config.Lease.Duties[a.Duty].Name, a.Note
 		case lease.Lost:
-			out.Kind, out.Duty, out.Note = Lost, m.c.Lease.Duties[a.Duty].Name, a.Reason
+			out.Kind, out.Duty, out.Note = Lost, m.config.Lease.Duties[a.Duty].Name, a.Reason
 		case lease.ActAccepted:
-			out.Kind, out.Duty = Took, m.c.Lease.Duties[a.Duty].Name
+			out.Kind, out.Duty = Took, m.config.Lease.Duties[a.Duty].Name
 		case lease.ActRefused:
-			out.Kind, out.Duty = Refused, m.c.Lease.Duties[a.Duty].Name
+			out.Kind, out.Duty = Refused, m.config.Lease.Duties[a.Duty].Name
 		case lease.HolderChanged:
-			out.Kind, out.Duty = Learnt, m.c.Lease.Duties[a.Duty].Name
+			out.Kind, out.Duty = Learnt, m.config.Lease.Duties[a.Duty].Name
 		}
-		m.acts = append(m.acts, out)
+		m.actions = append(m.actions, out)
 	}
 }
 
-// examine gives an event to what examines targets, with the duty as it stands at this moment.
-func (m *Machine) examine(now float64, ev *health.Event) {
+// stepHealth passes an event to the health checks, with the current state of their duty.
+func (m *Machine) stepHealth(now float64, ev *health.Event) {
 	if m.health == nil {
 		return
 	}
-	ev.Holder, _, ev.Newest, ev.Number = m.standing(health.Duty, now)
+	ev.Holder, _, ev.Newest, ev.Number = m.dutyState(health.Duty, now)
 	ev.LiveMembers = m.members.Count()
 	m.wakes[2] = math.Inf(1)
-	m.hActs = m.health.Step(now, ev, m.hActs[:0])
-	for i := range m.hActs {
-		switch a := &m.hActs[i]; a.Kind {
+	m.healthActions = m.health.Step(now, ev, m.healthActions[:0])
+	for i := range m.healthActions {
+		switch a := &m.healthActions[i]; a.Kind {
 		case health.Send:
 			m.raw = a.Msg.Append(m.raw[:0], m.digest)
-			m.tell(a.To)
+			m.sendRaw(a.To)
 		case health.Probe:
-			m.acts = append(m.acts, Action{Kind: Probe, Target: a.Target})
+			m.actions = append(m.actions, Action{Kind: Probe, Target: a.Target})
 		case health.Verdict:
-			m.acts = append(m.acts, Action{Kind: Judged, Duty: health.Duty, Number: a.Number, Target: a.Target, Lasts: a.Lasts})
+			m.actions = append(m.actions, Action{Kind: Judged, Duty: health.Duty, Number: a.Number, Target: a.Target, Lasts: a.Lasts})
 		case health.Wake:
 			m.wakes[2] = a.At
 		}
 	}
 }
 
-// standing is how a duty stands at this moment: who holds it as far as is known, and under which number; the
-// newest under which anybody was heard to act; and the number under which this scheduler holds it, or 0.
-func (m *Machine) standing(duty string, now float64) (holder int, number, newest, own uint64) {
-	d := m.duties[duty]
-	holder, number, _ = m.leases.Holder(d, now)
-	own, _ = m.leases.Holds(d, now)
-	return holder, number, m.leases.NewestNumber(d), own
+// dutyState returns the current state of a duty: its known holder and number, the newest number under
+// which a scheduler is known to have acted, and the number under which this scheduler holds the duty,
+// or 0.
+func (m *Machine) dutyState(duty string, now float64) (holder int, number, newest, own uint64) {
+	index := m.dutyIndex[duty]
+	holder, number, _ = m.leases.Holder(index, now)
+	own, _ = m.leases.Holds(index, now)
+	return holder, number, m.leases.NewestNumber(index), own
 }
 
-// tell sends what is in raw to one scheduler, or to all others that live (-1).
-func (m *Machine) tell(who int) {
+// sendRaw sends the datagram in m.raw to one scheduler, or to all other live members if who is -1.
+func (m *Machine) sendRaw(who int) {
 	raw := string(m.raw)
 	if who >= 0 {
-		m.acts = append(m.acts, Action{Kind: Tell, To: who, Raw: raw})
+		m.actions = append(m.actions, Action{Kind: Tell, To: who, Raw: raw})
 		return
 	}
-	for to := range m.c.Lease.Fleet {
-		if to != m.c.Lease.Self && m.members.Alive(to) {
-			m.acts = append(m.acts, Action{Kind: Tell, To: to, Raw: raw})
+	for to := range m.config.Lease.Fleet {
+		if to != m.config.Lease.Self && m.members.Alive(to) {
+			m.actions = append(m.actions, Action{Kind: Tell, To: to, Raw: raw})
 		}
 	}
 }
 
-// account gives an event to what adds up tenants' requests, likewise.
-func (m *Machine) account(now float64, ev *shares.Event) {
+// stepShares passes an event to the usage counts, with the current state of their duty.
+func (m *Machine) stepShares(now float64, ev *shares.Event) {
 	if m.shares == nil {
 		return
 	}
-	ev.Holder, _, ev.Newest, ev.Number = m.standing(shares.Duty, now)
-	m.sActs = m.shares.Step(now, ev, m.sActs[:0])
-	for i := range m.sActs {
-		switch a := &m.sActs[i]; a.Kind {
+	ev.Holder, _, ev.Newest, ev.Number = m.dutyState(shares.Duty, now)
+	m.sharesActions = m.shares.Step(now, ev, m.sharesActions[:0])
+	for i := range m.sharesActions {
+		switch a := &m.sharesActions[i]; a.Kind {
 		case shares.Send:
 			m.raw = a.Msg.Append(m.raw[:0], m.digest)
-			m.tell(a.To)
+			m.sendRaw(a.To)
 		case shares.PartsChanged:
-			m.acts = append(m.acts, Action{Kind: Shared, Duty: shares.Duty, Number: a.Number, Lasts: a.Lasts, Parts: a.Parts})
+			m.actions = append(m.actions, Action{Kind: Shared, Duty: shares.Duty, Number: a.Number, Lasts: a.Lasts, Parts: a.Parts})
 		case shares.Wake:
 			m.wakes[3] = a.At
 		}
 	}
 }
 
-// govern gives an event to what agrees on rules, likewise.
-func (m *Machine) govern(now float64, ev *rules.Event) {
+// stepRules passes an event to the agreed settings, with the current state of their duty.
+func (m *Machine) stepRules(now float64, ev *rules.Event) {
 	if m.rules == nil {
 		return
 	}
-	ev.Holder, ev.HolderNo, _, ev.Duty = m.standing(rules.Duty, now)
+	ev.Holder, ev.HolderNo, _, ev.Duty = m.dutyState(rules.Duty, now)
 	ev.Alive = m.members.Alive
-	m.rActs = m.rules.Step(now, ev, m.rActs[:0])
-	for i := range m.rActs {
-		a := &m.rActs[i]
+	m.rulesActions = m.rules.Step(now, ev, m.rulesActions[:0])
+	for i := range m.rulesActions {
+		a := &m.rulesActions[i]
 		out := Action{To: a.Who, Doc: a.Doc, Version: a.Version, Digest: a.Digest, Strict: a.Strict, At: a.Until, Note: a.Reason}
 		switch a.Kind {
 		case rules.Send:
 			m.raw = a.Msg.Append(m.raw[:0], m.digest)
-			m.tell(a.To)
+			m.sendRaw(a.To)
 			continue
 		case rules.Wake:
 			m.wakes[4] = a.At
@@ -450,65 +456,66 @@
 		case rules.Alarm:
 			out.Kind = Alarm
 		}
-		m.acts = append(m.acts, out)
+		m.actions = append(m.actions, out)
 	}
 }
 
-// InForce is what this scheduler may act on at a time, read at the moment of acting; where rules are agreed on.
+// InForce returns the settings that this scheduler may apply at the given time. Call it at the moment
+// of acting, with a time read then. Config.Rules must be set.
 func (m *Machine) InForce(now float64) (v rules.Version, d *rules.Doc, strict bool) {
 	return m.rules.InForce(now)
 }
 
-// Holds says under which number this scheduler holds a duty at the given time. It is to be asked at
-// the moment of acting, with a time read then.
+// Holds returns the fencing number under which this scheduler holds a duty at the given time. Call it
+// at the moment of acting, with a time read then.
 func (m *Machine) Holds(duty string, now float64) (number uint64, ok bool) {
-	d, known := m.duties[duty]
+	d, known := m.dutyIndex[duty]
 	if !known {
 		return 0, false
 	}
 	return m.leases.Holds(d, now)
 }
 
-// Until is when this scheduler ceases to hold a duty unless it is granted anew.
-func (m *Machine) Until(duty string) float64 { return m.leases.HeldUntil(m.duties[duty]) }
+// Until returns when this scheduler's hold on a duty ends unless its lease is renewed.
+func (m *Machine) Until(duty string) float64 { return m.leases.HeldUntil(m.dutyIndex[duty]) }
 
-// Leave says what the successor in a duty needs to know.
-func (m *Machine) Leave(duty, note string) {
-	if d, known := m.duties[duty]; known {
+// SetHandoverNote sets the note that is sent to the successor when a duty is handed over.
+func (m *Machine) SetHandoverNote(duty, note string) {
+	if d, known := m.dutyIndex[duty]; known {
 		m.leases.SetHandoverNote(d, note)
 	}
 }
 
-// Member is what is believed of one scheduler.
-type Member struct {
+// MemberStatus is the believed state of one scheduler.
+type MemberStatus struct {
 	Address string
 	State   members.State
 	Since   float64
 }
 
-// Held is what is known of one duty.
-type Held struct {
+// DutyStatus is what is known about one duty.
+type DutyStatus struct {
 	Duty   string
-	Holder int // -1: nobody, as far as is known
+	Holder int // -1: unknown
 	Number uint64
-	Until  float64 // at the latest
+	Until  float64 // latest time until which Holder may hold the duty
 }
 
-// View is what this scheduler believes, to be looked at.
-func (m *Machine) View(now float64) (all []Member, duties []Held) {
-	for i, a := range m.c.Addresses {
+// View returns the believed state of all schedulers and duties, for logs and tests.
+func (m *Machine) View(now float64) (all []MemberStatus, duties []DutyStatus) {
+	for i, a := range m.config.Addresses {
 		s, since := m.members.State(i)
-		all = append(all, Member{a, s, since})
+		all = append(all, MemberStatus{a, s, since})
 	}
-	for i, d := range m.c.Lease.Duties {
+	for i, d := range m.config.Lease.Duties {
 		who, number, until := m.leases.Holder(i, now)
-		duties = append(duties, Held{d.Name, who, number, until})
+		duties = append(duties, DutyStatus{d.Name, who, number, until})
 	}
 	return all, duties
 }
 
-// Alive says whether a scheduler is not taken for dead; Living is how many are not.
+// Alive reports whether a scheduler is not declared dead.
 func (m *Machine) Alive(who int) bool { return m.members.Alive(who) }
 
-// Living is how many schedulers are not taken for dead, this one among them.
+// Living returns the number of schedulers that are not declared dead, including this one.
 func (m *Machine) Living() int { return m.members.Count() }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -12,7 +12,7 @@
 	"cottonwell/internal/fleet/members"
 )
 
-func config(self, n int, duties ...string) Config {
+func testConfig(self, n int, duties ...string) Config {
 	c := Config{Members: members.Default(), Lease: lease.Default()}
 	c.Members.Self, c.Members.Fleet = self, n
 	c.Lease.Self, c.Lease.Fleet, c.Lease.Voters, c.Lease.Life = self, n, min(n, 5), uint32(self+1)
@@ -25,7 +25,7 @@
 	return c
 }
 
-func TestImpossibleSettings(t *testing.T) {
+func TestInvalidSettings(t *testing.T) {
 	for want, change := range map[string]func(*Config){
 		"scheduler 9 of 5":            func(c *Config) { c.Lease.Self, c.Members.Self = 9, 9 },
 		"voters is 6":                 func(c *Config) { c.Lease.Voters = 6 },
@@ -38,48 +38,48 @@
 		"period is 1ms":                               func(c *Config) { c.Members.Period = 1 },
 		"answer_in is 400ms":                          func(c *Config) { c.Members.AnswerIn = 400 },
 		"helpers is 9":                                func(c *Config) { c.Members.Helpers = 9 },
-		"4 addresses, 5 schedulers":                   func(c *Config) { c.Addresses = c.Addresses[:4] },
+		"4 addresses, 5 schedulers and 5 members":     func(c *Config) { c.Addresses = c.Addresses[:4] },
 	} {
-		c := config(0, 5, "examiner")
+		c := testConfig(0, 5, "examiner")
 		change(&c)
 		_, err := New(c, 0)
 		require.ErrorContains(t, err, want)
 	}
 }
 
-// What comes from elsewhere, is cut off, changed, or of another fleet is counted, and changes nothing.
-func TestForeignDatagrams(t *testing.T) {
-	m, err := New(config(0, 5, "examiner"), 1000)
+// Datagrams that are truncated, corrupted or of another fleet are counted and change nothing.
+func TestInvalidDatagrams(t *testing.T) {
+	m, err := New(testConfig(0, 5, "examiner"), 1000)
 	require.NoError(t, err)
-	var good [2]string
-	for i, other := range []Config{config(1, 5, "examiner"), config(1, 5, "examiner")} {
+	var datagrams [2]string
+	for i, other := range []Config{testConfig(1, 5, "examiner"), testConfig(1, 5, "examiner")} {
 		if i == 1 {
-			other.Lease.Lease = 3000 // another fleet's rules
+			other.Lease.Lease = 3000 // settings of another fleet
 			other.Lease.Quiet = 3000
 		}
 		o, err := New(other, 0)
 		require.NoError(t, err)
-		for now := 0.0; good[i] == ""; now += 50 {
+		for now := 0.0; datagrams[i] == ""; now += 50 {
 			for _, a := range o.Step(now, &Event{Kind: Due}, nil) {
 				if a.Kind == Tell && a.To == 0 && a.Raw[0] == lease.Version {
-					good[i] = a.Raw
+					datagrams[i] = a.Raw
 				}
 			}
 		}
 	}
-	hear := func(raw string) []Action { return m.Step(1000, &Event{Kind: Heard, From: 1, Raw: raw}, nil) }
-	require.NotEmpty(t, hear(good[0]), "a voter answers")
+	receive := func(raw string) []Action { return m.Step(1000, &Event{Kind: Heard, From: 1, Raw: raw}, nil) }
+	require.NotEmpty(t, receive(datagrams[0]), "a voter responds")
 	require.Zero(t, m.Unreadable)
-	hear(good[1])
+	receive(datagrams[1])
 	require.Equal(t, 1, m.Unreadable)
-	for i := range len(good[0]) {
-		hear(good[0][:i])
-		b := []byte(good[0])
+	for i := range len(datagrams[0]) {
+		receive(datagrams[0][:i])
+		b := []byte(datagrams[0])
 		b[i] ^= 0x55
-		hear(string(b))
+		receive(string(b))
 	}
-	require.Equal(t, 1+2*len(good[0])-2, m.Unreadable, "all but the empty word, and one whose first byte is another version's")
-	require.True(t, Reads(good[0]))
+	require.Equal(t, 1+2*len(datagrams[0])-2, m.Unreadable, "all but the empty datagram and the one whose first byte is that of another version")
+	require.True(t, Reads(datagrams[0]))
 	require.False(t, Reads("") || Reads("\x01abc"))
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 20_000 {
@@ -90,18 +90,19 @@
 		if len(b) > 0 {
 			b[0] = byte(members.Version + rng.IntN(2))
 		}
-		hear(string(b))
+		receive(string(b))
 	}
 	_, held := m.View(1000)
 	require.Equal(t, -1, held[0].Holder)
 	require.Equal(t, 5, m.Living())
 }
 
-// Whatever messages come, in whatever order: a voter's grant to one is never followed by one to another
-// before the first has run out by its own clock or was given up, and its numbers never fall.
-func TestAVotersGrants(t *testing.T) {
+// Whatever messages arrive in whatever order, a voter grants a duty to another scheduler only after
+// the previous grant has expired by its own clock or was released, and the granted numbers never
+// decrease.
+func TestVoterGrants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := config(0, 5, "examiner").Lease
+		c := testConfig(0, 5, "examiner").Lease
 		m, err := lease.New(c, 0)
 		require.NoError(t, err)
 		now, newest := c.Quiet, uint64(0)
@@ -126,7 +127,7 @@
 					continue
 				}
 				if (last.to != from || last.life != x.RunID) && now < last.end {
-					t.Fatalf("granted to %d at %g, though %d has it until %g", from, now, last.to, last.end)
+					t.Fatalf("granted to %d at %g, but %d holds the grant until %g", from, now, last.to, last.end)
 				}
 				if a.Msg.Number < newest || a.Msg.Number == newest && (last.to != from || last.life != x.RunID) {
 					t.Fatalf("number %d after %d", a.Msg.Number, newest)
@@ -138,36 +139,37 @@
 	})
 }
 
-// Failure (found in reading): a holder told the voters that it gave up before it told its host. A process that
-// stood still between the two still believed to hold what another had been granted.
-func TestTheHostLearnsOfALossFirst(t *testing.T) {
-	m, now := holder(t)
+// Guards against a holder that released its grants before it reported the loss to its host. A process
+// that paused between the two would still act as the holder of a duty that another had been granted.
+func TestLossIsReportedBeforeRelease(t *testing.T) {
+	m, now := newHolder(t)
 	lost := false
 	for _, a := range m.Step(now+1, &lease.Event{Kind: lease.Resign}, nil) {
 		lost = lost || a.Kind == lease.Lost
 		if a.Kind == lease.Send {
-			require.True(t, lost, "the voters are told first")
+			require.True(t, lost, "the voters got the release before the host got the loss")
 		}
 	}
 	require.True(t, lost)
 }
 
-// Failure (found in reading): one that resigned after its time had run out did not tell its host of the loss.
+// Guards against a scheduler that resigned after its lease had expired and did not report the loss to
+// its host.
 func TestOneThatResignsTooLateTellsItsHost(t *testing.T) {
-	m, now := holder(t)
-	lost := 0
+	m, now := newHolder(t)
+	losses := 0
 	for _, a := range m.Step(now+10_000, &lease.Event{Kind: lease.Resign}, nil) {
 		if a.Kind == lease.Lost {
-			lost++
+			losses++
 		}
-		require.False(t, a.Kind == lease.Send && a.Msg.Kind == lease.Handover, "it has nothing to hand on")
+		require.False(t, a.Kind == lease.Send && a.Msg.Kind == lease.Handover, "there is nothing to hand over")
 	}
-	require.Equal(t, 1, lost)
+	require.Equal(t, 1, losses)
 }
 
-// holder is a scheduler of three that holds a duty, and the time.
-func holder(t *testing.T) (m *lease.Machine, now float64) {
-	c := config(0, 3, "examiner").Lease
+// newHolder returns a scheduler of a fleet of three that holds a duty, and the time.
+func newHolder(t *testing.T) (m *lease.Machine, now float64) {
+	c := testConfig(0, 3, "examiner").Lease
 	m, err := lease.New(c, 0)
 	require.NoError(t, err)
 	for _, held := m.Holds(0, now); !held; _, held = m.Holds(0, now) {
@@ -187,12 +189,12 @@
 	return m, now
 }
 
-// BenchmarkEvent is the cost of what comes most often in a large fleet: an asking of who lives with
-// its answer, and a duty's renewal at a voter.
+// BenchmarkEvent measures the most frequent operations in a large fleet: a ping with its response, and
+// a lease renewal at a voter.
 func BenchmarkEvent(b *testing.B) {
 	for _, n := range []int{5, 50, 300, 1000} {
 		b.Run(fmt.Sprintf("members/schedulers=%d", n), func(b *testing.B) {
-			c := config(0, n).Members
+			c := testConfig(0, n).Members
 			m, err := members.New(c, 0)
 			if err != nil {
 				b.Fatal(err)
@@ -207,7 +209,7 @@
 			}
 		})
 		b.Run(fmt.Sprintf("lease/schedulers=%d", n), func(b *testing.B) {
-			c := config(0, n, "examiner").Lease
+			c := testConfig(0, n, "examiner").Lease
 			m, err := lease.New(c, 0)
 			if err != nil {
 				b.Fatal(err)
--- a/internal/fleet/frame/frame.go
+++ b/internal/fleet/frame/frame.go
@@ -1,6 +1,7 @@
-// Package frame is what all datagrams of the fleet begin with: a version, a check sum, and a digest
-// of what must be the same at both ends. It keeps out what was cut off or changed on its way, what
-// another version says, and what comes from a scheduler with another configuration.
+// Package frame encodes the common header of all fleet datagrams: a version byte, a checksum, and a
+// digest of the configuration that must be equal on both ends. Open rejects datagrams that are
+// truncated, corrupted, of another version, or from a scheduler with another configuration. The
+// package does not interpret the body.
 package frame
 
 import (
@@ -9,31 +10,31 @@
 	"hash/crc32"
 )
 
-// MaxSize is the longest datagram that the platform allows, in bytes.
+// MaxSize is the maximum size of a datagram in bytes, as set by the platform.
 const MaxSize = 256
 
-// Size is what the frame takes of it.
-const Size = 9
+// HeaderSize is the size of the header in bytes.
+const HeaderSize = 9
 
-// ErrForm marks a datagram that is none of this version and fleet.
-var ErrForm = errors.New("fleet: not a datagram of this version and fleet")
+// ErrInvalid is returned for a datagram that is malformed, or of another version or fleet.
+var ErrInvalid = errors.New("fleet: datagram is malformed, or of another version or fleet")
 
-// Begin begins a datagram; what it says is appended, and Seal ends it.
+// Begin appends a header without checksum to raw. The caller appends the body and calls Seal.
 func Begin(raw []byte, version byte, digest uint32) []byte {
 	return binary.LittleEndian.AppendUint32(append(raw, version, 0, 0, 0, 0), digest)
 }
 
-// Seal puts the check sum in.
+// Seal sets the checksum of a datagram.
 func Seal(raw []byte) []byte {
 	binary.LittleEndian.PutUint32(raw[1:], crc32.ChecksumIEEE(raw[5:]))
 	return raw
 }
 
-// Open returns what a datagram says.
+// Open validates a datagram and returns its body.
 func Open(raw []byte, version byte, digest uint32) (body []byte, err error) {
-	if len(raw) < Size || len(raw) > MaxSize || raw[0] != version || crc32.ChecksumIEEE(raw[5:]) != binary.LittleEndian.Uint32(raw[1:]) ||
+	if len(raw) < HeaderSize || len(raw) > MaxSize || raw[0] != version || crc32.ChecksumIEEE(raw[5:]) != binary.LittleEndian.Uint32(raw[1:]) ||
 		binary.LittleEndian.Uint32(raw[5:]) != digest {
-		return nil, ErrForm
+		return nil, ErrInvalid
 	}
-	return raw[Size:], nil
+	return raw[HeaderSize:], nil
 }
--- a/internal/fleet/health/msg.go
+++ b/internal/fleet/health/msg.go
@@ -38,7 +38,7 @@
 	fixedSize = 1 + 8 + 4 + 2
 	entrySize = 5
 	// MaxEntries is the maximum number of targets in one message.
-	MaxEntries = (frame.MaxSize - frame.Size - fixedSize) / entrySize
+	MaxEntries = (frame.MaxSize - frame.HeaderSize - fixedSize) / entrySize
 )
 
 const (
@@ -75,7 +75,7 @@
 	}
 	n := (len(body) - fixedSize) / entrySize
 	if len(body) <= fixedSize || len(body) != fixedSize+n*entrySize || body[0] < byte(Suspicions) || body[0] > byte(Verdicts) || body[0] == byte(Suspicions) && n != 1 {
-		return frame.ErrForm
+		return frame.ErrInvalid
 	}
 	*msg = Msg{Kind: MsgKind(body[0]), Number: binary.LittleEndian.Uint64(body[1:]), Seq: binary.LittleEndian.Uint32(body[9:]),
 		Lasts: 2 * float64(binary.LittleEndian.Uint16(body[13:])), Entries: msg.Entries[:0]}
--- a/internal/fleet/lease/msg.go
+++ b/internal/fleet/lease/msg.go
@@ -62,7 +62,7 @@
 		return err
 	}
 	if len(b) < fixedSize || len(b) > fixedSize+MaxNoteBytes || b[0] < byte(Query) || b[0] > byte(lastKind) {
-		return frame.ErrForm
+		return frame.ErrInvalid
 	}
 	*x = Msg{Kind: MsgKind(b[0]), Duty: binary.LittleEndian.Uint32(b[1:]), RunID: binary.LittleEndian.Uint32(b[5:]),
 		Seq: binary.LittleEndian.Uint32(b[9:]), Number: binary.LittleEndian.Uint64(b[13:]), Holder: int(binary.LittleEndian.Uint16(b[21:])),
--- a/internal/fleet/members/msg.go
+++ b/internal/fleet/members/msg.go
@@ -73,12 +73,12 @@
 		return err
 	}
 	if len(body) < fixedSize || (len(body)-fixedSize)%updateSize != 0 || (len(body)-fixedSize)/updateSize > maxUpdatesPerMsg || body[0] < byte(Ping) || body[0] > byte(IndirectAck) {
-		return frame.ErrForm
+		return frame.ErrInvalid
 	}
 	msg.Kind, msg.Seq, msg.Target, msg.NumUpdates = MsgKind(body[0]), binary.LittleEndian.Uint32(body[1:]), int(binary.LittleEndian.Uint16(body[5:])), 0
 	for body = body[fixedSize:]; len(body) > 0; body = body[updateSize:] {
 		if State(body[2]) > Left {
-			return frame.ErrForm
+			return frame.ErrInvalid
 		}
 		msg.Updates[msg.NumUpdates] = Update{binary.LittleEndian.Uint16(body), State(body[2]), binary.LittleEndian.Uint32(body[3:]), binary.LittleEndian.Uint16(body[7:])}
 		msg.NumUpdates++
--- a/internal/fleet/rules/msg.go
+++ b/internal/fleet/rules/msg.go
@@ -82,24 +82,24 @@
 		return err
 	}
 	if len(b) < 1 || b[0] < byte(Ask) || b[0] > byte(lastMsg) {
-		return frame.ErrForm
+		return frame.ErrInvalid
 	}
 	le := binary.LittleEndian
 	*x = Msg{Kind: MsgKind(b[0])}
 	switch x.Kind {
 	case Want:
 		if len(b) != 17 {
-			return frame.ErrForm
+			return frame.ErrInvalid
 		}
 		x.Doc, x.Missing = Digest(le.Uint64(b[1:])), le.Uint64(b[9:])
 	case Piece:
 		if len(b) < 12 || len(b) > 11+PieceSize || int(b[9]) >= int(b[10]) || int(b[10]) > maxPieces {
-			return frame.ErrForm
+			return frame.ErrInvalid
 		}
 		x.Doc, x.I, x.N, x.Data = Digest(le.Uint64(b[1:])), int(b[9]), int(b[10]), bytes.Clone(b[11:])
 	default:
 		if len(b) < fixed || len(b) > fixed+MaxReason || b[1] > 1 {
-			return frame.ErrForm
+			return frame.ErrInvalid
 		}
 		x.Valid, x.Life, x.Seq = b[1] == 1, le.Uint32(b[2:]), le.Uint32(b[6:])
 		x.Version = Version{le.Uint64(b[10:]), Digest(le.Uint64(b[18:])), Digest(le.Uint64(b[26:]))}
--- a/internal/fleet/shares/msg.go
+++ b/internal/fleet/shares/msg.go
@@ -54,14 +54,14 @@
 	}
 	n := (len(body) - fixedSize) / 4
 	if len(body) <= fixedSize || len(body) != fixedSize+4*n || n > MaxTenants || body[0] < byte(Usage) || body[0] > byte(Parts) {
-		return frame.ErrForm
+		return frame.ErrInvalid
 	}
 	*msg = Msg{Kind: MsgKind(body[0]), TenantsKey: binary.LittleEndian.Uint32(body[1:]), Number: binary.LittleEndian.Uint64(body[5:]), Seq: binary.LittleEndian.Uint32(body[13:]),
 		Lasts: 2 * float64(binary.LittleEndian.Uint16(body[17:])), Figures: msg.Figures[:0]}
 	for body = body[fixedSize:]; len(body) > 0; body = body[4:] {
 		f := math.Float32frombits(binary.LittleEndian.Uint32(body))
 		if !(f >= 0 && f < 1e9) {
-			return frame.ErrForm
+			return frame.ErrInvalid
 		}
 		msg.Figures = append(msg.Figures, f)
 	}
