--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -283,7 +283,7 @@
 		}
 	case len(m.raw) > 0 && m.raw[0] == rules.Format && m.rules != nil:
 		if m.recordContact(now, ev.From, m.rulesMsg.Parse(m.raw, m.digest)) {
-			m.stepRules(now, &rules.Event{Kind: rules.Heard, From: ev.From, Msg: &m.rulesMsg})
+			m.stepRules(now, &rules.Event{Kind: rules.MessageReceived, From: ev.From, Msg: &m.rulesMsg})
 		}
 	default: // a datagram of another protocol: its sender is alive
 		m.stepMembers(now, &members.Event{Kind: members.Contact, From: ev.From})
@@ -424,12 +424,12 @@
 	if m.rules == nil {
 		return
 	}
-	ev.Holder, ev.HolderNo, _, ev.Duty = m.dutyState(rules.Duty, now)
+	ev.Holder, ev.HolderNumber, _, ev.Duty = m.dutyState(rules.Duty, now)
 	ev.Alive = m.members.Alive
 	m.rulesActions = m.rules.Step(now, ev, m.rulesActions[:0])
 	for i := range m.rulesActions {
 		a := &m.rulesActions[i]
-		out := Action{To: a.Who, Doc: a.Doc, Version: a.Version, Digest: a.Digest, Strict: a.Strict, At: a.Until, Note: a.Reason}
+		out := Action{To: a.Scheduler, Doc: a.Doc, Version: a.Version, Digest: a.Digest, Strict: a.Strict, At: a.Until, Note: a.Reason}
 		switch a.Kind {
 		case rules.Send:
 			m.raw = a.Msg.Append(m.raw[:0], m.digest)
@@ -438,7 +438,7 @@
 		case rules.Wake:
 			m.wakes[4] = a.At
 			continue
-		case rules.Rule:
+		case rules.Apply:
 			out.Kind = Rule
 			if m.shares != nil {
 				agreed := map[string]float64{}
--- a/internal/fleet/rules/doc.go
+++ b/internal/fleet/rules/doc.go
@@ -17,17 +17,18 @@
 	"cottonwell/internal/units"
 )
 
-// Bounds of a document. What is beyond them is refused with the reason.
+// Limits of a document. Larger values are refused with an error.
 const (
-	MaxBytes   = 12_000 // packed, for the way
+	MaxBytes = 12_000 // compressed size for transmission
+	// MaxText is the maximum size of the uncompressed text in bytes.
 	MaxText    = 1 << 20
 	MaxDrains  = 1024
 	MaxTenants = 256
 	MaxClasses = 256
 )
 
-// Doc is what the schedulers agree on. docs/RULES.md explains the keys. What is left out is as the platform's
-// settings have it.
+// Doc is the document that the schedulers agree on. Omitted values are taken from the platform's
+// settings. docs/RULES.md explains the keys.
 type Doc struct {
 	Classes map[string]Class  `toml:"class,omitempty"`
 	Tenants map[string]Tenant `toml:"tenant,omitempty"`
@@ -35,29 +36,30 @@
 	Drains  []Drain           `toml:"drain,omitempty"`
 }
 
-// Class is what holds for the requests of one class.
+// Class holds the settings of one class of requests.
 type Class struct {
-	Attempts *int          `toml:"attempts,omitempty"`  // of a request, at most
-	ComeBack *units.Millis `toml:"come_back,omitempty"` // advice on a refusal for which there is none better
+	Attempts *int          `toml:"attempts,omitempty"`  // maximum attempts per request
+	ComeBack *units.Millis `toml:"come_back,omitempty"` // retry-after of a refusal for which no better value is known
 }
 
-// Tenant is what holds for a tenant.
+// Tenant holds the settings of one tenant.
 type Tenant struct {
-	Allowance *float64 `toml:"allowance,omitempty"` // requests a second, over the fleet
+	Allowance *float64 `toml:"allowance,omitempty"` // requests per second over the whole fleet
 }
 
-// Cold is what holds for targets that warm up.
+// Cold holds the settings for targets that warm up.
 type Cold struct {
-	Share *units.Share `toml:"share,omitempty"` // of what they may be sent else
+	Share *units.Share `toml:"share,omitempty"` // fraction of the load that a target may otherwise be sent
 }
 
-// Drain takes a target, or all of a zone, out of the list: they finish what they have.
+// Drain removes a target, or all targets of a zone, from the list. Drained targets finish the work
+// they have.
 type Drain struct {
 	Target string `toml:"target,omitempty"`
 	Zone   string `toml:"zone,omitempty"`
 }
 
-// Load reads a document from a file. A mistake is one error with file and line, or with the key.
+// Load reads a document from a file. An error names the file and the line or key.
 func Load(path string) (*Doc, error) {
 	d := &Doc{}
 	if err := tomlfile.Load(path, d); err != nil {
@@ -69,41 +71,41 @@
 	return d, nil
 }
 
-// Check returns an error that names the key that cannot be.
+// Check returns an error that names the first invalid key.
 func (d *Doc) Check() error {
 	switch {
 	case len(d.Classes) > MaxClasses:
-		return fmt.Errorf("%d classes, and may be %d", len(d.Classes), MaxClasses)
+		return fmt.Errorf("%d classes; at most %d are allowed", len(d.Classes), MaxClasses)
 	case len(d.Tenants) > MaxTenants:
-		return fmt.Errorf("%d tenants, and may be %d", len(d.Tenants), MaxTenants)
+		return fmt.Errorf("%d tenants; at most %d are allowed", len(d.Tenants), MaxTenants)
 	case len(d.Drains) > MaxDrains:
-		return fmt.Errorf("%d drains, and may be %d", len(d.Drains), MaxDrains)
+		return fmt.Errorf("%d drains; at most %d are allowed", len(d.Drains), MaxDrains)
 	case d.Cold.Share != nil && !(*d.Cold.Share >= 0 && *d.Cold.Share <= 1):
-		return fmt.Errorf("cold.share is %g%%, and may be 0%% to 100%%", 100*float64(*d.Cold.Share))
+		return fmt.Errorf("cold.share is %g%%; it must be 0%% to 100%%", 100*float64(*d.Cold.Share))
 	}
 	for _, name := range slices.Sorted(maps.Keys(d.Classes)) {
 		c := d.Classes[name]
 		switch {
 		case c.Attempts != nil && (*c.Attempts < 1 || *c.Attempts > 100):
-			return fmt.Errorf("class.%s.attempts is %d, and may be 1 to 100", name, *c.Attempts)
+			return fmt.Errorf("class.%s.attempts is %d; it must be 1 to 100", name, *c.Attempts)
 		case c.ComeBack != nil && !(*c.ComeBack >= 0 && *c.ComeBack <= 600_000):
-			return fmt.Errorf("class.%s.come_back is %gms, and may be 0ms to 10m", name, float64(*c.ComeBack))
+			return fmt.Errorf("class.%s.come_back is %gms; it must be 0ms to 10m", name, float64(*c.ComeBack))
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(d.Tenants)) {
 		if a := d.Tenants[name].Allowance; a != nil && !(*a > 0 && *a < 1e9) {
-			return fmt.Errorf("tenant.%s.allowance is %g requests a second", name, *a)
+			return fmt.Errorf("tenant.%s.allowance is %g requests per second; it must be above 0 and below 1e9", name, *a)
 		}
 	}
 	for i, x := range d.Drains {
 		if (x.Target == "") == (x.Zone == "") {
-			return fmt.Errorf("drain %d: it names a target or a zone, and one of them", i+1)
+			return fmt.Errorf("drain %d: it must name either a target or a zone", i+1)
 		}
 	}
 	return nil
 }
 
-// Text is the document in its one form: the same content gives the same text.
+// Text returns the document in canonical form: equal content gives equal text.
 func (d *Doc) Text() string {
 	x := *d
 	x.Drains = slices.Clone(d.Drains)
@@ -113,15 +115,15 @@
 	enc := toml.NewEncoder(&b)
 	enc.Indent = ""
 	if err := enc.Encode(&x); err != nil {
-		panic(fmt.Sprintf("rules: a document that cannot be written: %v", err)) // its types all can
+		panic(fmt.Sprintf("rules: cannot encode the document: %v", err)) // every type in Doc can be encoded
 	}
 	return b.String()
 }
 
-// Digest names a document by its content. 0 is never one.
+// Digest identifies a document by its content. It is never 0.
 type Digest uint64
 
-// Pack is the document for the way, and its digest.
+// Pack returns the document compressed for transmission, and its digest.
 func (d *Doc) Pack() ([]byte, Digest, error) {
 	var b bytes.Buffer
 	w, err := flate.NewWriter(&b, flate.BestCompression)
@@ -135,7 +137,7 @@
 		return nil, 0, err
 	}
 	if b.Len() > MaxBytes {
-		return nil, 0, fmt.Errorf("rules: %d bytes when packed, and may be %d", b.Len(), MaxBytes)
+		return nil, 0, fmt.Errorf("rules: the document has %d bytes when compressed; at most %d are allowed", b.Len(), MaxBytes)
 	}
 	return b.Bytes(), digestOf(b.Bytes()), nil
 }
@@ -145,25 +147,25 @@
 	return Digest(binary.LittleEndian.Uint64(sum[:]) | 1)
 }
 
-// Unpack reads what Pack wrote.
+// Unpack decodes the output of Pack.
 func Unpack(packed []byte) (*Doc, error) {
 	text, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), MaxText+1))
 	if err != nil || len(text) > MaxText {
-		return nil, fmt.Errorf("rules: what came cannot be unpacked: %w", err)
+		return nil, fmt.Errorf("rules: cannot decompress the document: %w", err)
 	}
 	d := &Doc{}
 	meta, err := toml.Decode(string(text), d)
 	if err != nil {
-		return nil, fmt.Errorf("rules: what came cannot be read: %w", err)
+		return nil, fmt.Errorf("rules: cannot decode the document: %w", err)
 	}
-	if odd := meta.Undecoded(); len(odd) > 0 {
-		return nil, fmt.Errorf("rules: this version does not know the key %s", odd[0])
+	if unknown := meta.Undecoded(); len(unknown) > 0 {
+		return nil, fmt.Errorf("rules: unknown key %s in the document; this version does not support it", unknown[0])
 	}
 	return d, d.Check()
 }
 
-// least is the smaller of two figures, of which either may be left out: then it has no bound.
-func least[T int | float64 | units.Millis | units.Share](a, b *T) *T {
+// smaller returns the smaller of two values. An omitted value is unlimited.
+func smaller[T int | float64 | units.Millis | units.Share](a, b *T) *T {
 	switch {
 	case a == nil:
 		return b
@@ -173,48 +175,49 @@
 	return b
 }
 
-// Meet is the document that contradicts neither of two: the stricter of each pair. Whoever acts on it does
-// nothing that either forbids.
-func Meet(a, b *Doc) *Doc {
-	out := &Doc{Cold: Cold{least(a.Cold.Share, b.Cold.Share)}}
+// Stricter returns a document that contradicts neither a nor b: the stricter of each pair of values.
+// Acting on it does nothing that either forbids.
+func Stricter(a, b *Doc) *Doc {
+	out := &Doc{Cold: Cold{smaller(a.Cold.Share, b.Cold.Share)}}
 	out.Drains = append(slices.Clone(a.Drains), b.Drains...)
-	out.Classes = union(a.Classes, b.Classes, func(x, y Class) Class {
-		z := Class{Attempts: least(x.Attempts, y.Attempts), ComeBack: x.ComeBack}
-		if z.ComeBack == nil || y.ComeBack != nil && *y.ComeBack > *z.ComeBack { // later is stricter
+	out.Classes = mergeMaps(a.Classes, b.Classes, func(x, y Class) Class {
+		z := Class{Attempts: smaller(x.Attempts, y.Attempts), ComeBack: x.ComeBack}
+		if z.ComeBack == nil || y.ComeBack != nil && *y.ComeBack > *z.ComeBack { // a later retry is stricter
 			z.ComeBack = y.ComeBack
 		}
 		return z
 	})
-	out.Tenants = union(a.Tenants, b.Tenants, func(x, y Tenant) Tenant { return Tenant{least(x.Allowance, y.Allowance)} })
+	out.Tenants = mergeMaps(a.Tenants, b.Tenants, func(x, y Tenant) Tenant { return Tenant{smaller(x.Allowance, y.Allowance)} })
 	return out
 }
 
-func union[V any](a, b map[string]V, meet func(x, y V) V) map[string]V {
+// mergeMaps merges the values of all keys of two maps.
+func mergeMaps[V any](a, b map[string]V, merge func(x, y V) V) map[string]V {
 	if len(a)+len(b) == 0 {
 		return nil
 	}
 	out := map[string]V{}
 	for _, m := range []map[string]V{a, b} {
 		for k := range m {
-			out[k] = meet(a[k], b[k])
+			out[k] = merge(a[k], b[k])
 		}
 	}
 	return out
 }
 
-// Contradicts says in which keys two documents contradict each other: each forbids something that the other
-// allows, or one forbids what the other allows. Either way those who act on one break the other.
+// Contradicts returns the keys in which two documents contradict each other: at least one of them
+// forbids what the other allows. Then a scheduler that acts on one may violate the other.
 func Contradicts(a, b *Doc) (keys []string) {
 	differ := func(key string, same bool) {
 		if !same {
 			keys = append(keys, key)
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(union(a.Classes, b.Classes, func(x, _ Class) Class { return x }))) {
+	for _, name := range slices.Sorted(maps.Keys(mergeMaps(a.Classes, b.Classes, func(x, _ Class) Class { return x }))) {
 		x, y := a.Classes[name], b.Classes[name]
 		differ("class."+name+".attempts", equal(x.Attempts, y.Attempts))
 	}
-	for _, name := range slices.Sorted(maps.Keys(union(a.Tenants, b.Tenants, func(x, _ Tenant) Tenant { return x }))) {
+	for _, name := range slices.Sorted(maps.Keys(mergeMaps(a.Tenants, b.Tenants, func(x, _ Tenant) Tenant { return x }))) {
 		differ("tenant."+name+".allowance", equal(a.Tenants[name].Allowance, b.Tenants[name].Allowance))
 	}
 	differ("cold.share", equal(a.Cold.Share, b.Cold.Share))
@@ -229,13 +232,14 @@
 
 func equal[T comparable](a, b *T) bool { return a == b || a != nil && b != nil && *a == *b }
 
-// Within says whether whatever is done under a document is allowed by the other one.
-func Within(strict, wide *Doc) bool {
-	return len(Contradicts(Meet(strict, wide), strict)) == 0
+// AllowedBy reports whether every action that is allowed under strict is also allowed under wide.
+func AllowedBy(strict, wide *Doc) bool {
+	return len(Contradicts(Stricter(strict, wide), strict)) == 0
 }
 
-// Strict is what a scheduler goes over to that does not know any more whether its document is in force: no
-// request is tried twice, and a cold target gets one scheduler's part of its allowance.
+// Strict returns the form of a document that a scheduler applies when it does not know whether its
+// document is still in force. No request is attempted twice, and a cold target gets one scheduler's
+// share of its allowance.
 func Strict(d *Doc, classes []string, fleet int) *Doc {
 	out := &Doc{Cold: d.Cold, Drains: d.Drains, Tenants: d.Tenants, Classes: maps.Clone(d.Classes)}
 	part := units.Share(1 / float64(max(1, fleet)))
@@ -255,45 +259,45 @@
 	return out
 }
 
-// Diff says what going from one document to another would change in behaviour, a line each.
+// Diff describes the changes in behaviour from one document to another, one per line.
 func Diff(from, to *Doc) (lines []string) {
-	say := func(format string, args ...any) { lines = append(lines, fmt.Sprintf(format, args...)) }
-	figure := func(what string, a, b *float64, unit string) {
+	add := func(format string, args ...any) { lines = append(lines, fmt.Sprintf(format, args...)) }
+	compare := func(what string, a, b *float64, unit string) {
 		switch {
 		case equal(a, b):
 		case a == nil:
-			say("%s is bounded to %g%s, which the platform's settings bounded alone", what, *b, unit)
+			add("%s is limited to %g%s; before, only the limits of the platform's settings applied", what, *b, unit)
 		case b == nil:
-			say("%s is no longer bounded to %g%s: the platform's settings hold", what, *a, unit)
+			add("%s is no longer limited to %g%s; only the limits of the platform's settings apply", what, *a, unit)
 		case *b < *a:
-			say("%s falls from %g to %g%s", what, *a, *b, unit)
+			add("%s falls from %g to %g%s", what, *a, *b, unit)
 		default:
-			say("%s rises from %g to %g%s", what, *a, *b, unit)
+			add("%s rises from %g to %g%s", what, *a, *b, unit)
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(union(from.Classes, to.Classes, func(x, _ Class) Class { return x }))) {
+	for _, name := range slices.Sorted(maps.Keys(mergeMaps(from.Classes, to.Classes, func(x, _ Class) Class { return x }))) {
 		a, b := from.Classes[name], to.Classes[name]
-		figure("a request of "+name+": attempts", number(a.Attempts), number(b.Attempts), "")
-		figure("a refusal of "+name+": the advice when to come back", number(a.ComeBack), number(b.ComeBack), "ms")
+		compare("a request of "+name+": attempts", toFloat(a.Attempts), toFloat(b.Attempts), "")
+		compare("a refusal of "+name+": the default retry-after", toFloat(a.ComeBack), toFloat(b.ComeBack), "ms")
 	}
-	for _, name := range slices.Sorted(maps.Keys(union(from.Tenants, to.Tenants, func(x, _ Tenant) Tenant { return x }))) {
-		figure("tenant "+name+": requests a second within its share", from.Tenants[name].Allowance, to.Tenants[name].Allowance, "")
+	for _, name := range slices.Sorted(maps.Keys(mergeMaps(from.Tenants, to.Tenants, func(x, _ Tenant) Tenant { return x }))) {
+		compare("tenant "+name+": requests per second within its share", from.Tenants[name].Allowance, to.Tenants[name].Allowance, "")
 	}
-	figure("a cold target: the part of its allowance that is used", number(from.Cold.Share), number(to.Cold.Share), "")
+	compare("a cold target: the used fraction of its allowance", toFloat(from.Cold.Share), toFloat(to.Cold.Share), "")
 	for _, x := range to.Drains {
 		if !slices.Contains(from.Drains, x) {
-			say("nothing new goes to %s", x)
+			add("no new work goes to %s", x)
 		}
 	}
 	for _, x := range from.Drains {
 		if !slices.Contains(to.Drains, x) {
-			say("%s gets work again, if discovery lists it", x)
+			add("%s gets work again if discovery lists it", x)
 		}
 	}
 	return lines
 }
 
-func number[T int | float64 | units.Millis | units.Share](x *T) *float64 {
+func toFloat[T int | float64 | units.Millis | units.Share](x *T) *float64 {
 	if x == nil {
 		return nil
 	}
--- a/internal/fleet/rules/msg.go
+++ b/internal/fleet/rules/msg.go
@@ -7,103 +7,104 @@
 	"cottonwell/internal/fleet/frame"
 )
 
-// MsgKind tells messages apart.
+// MsgKind is the kind of a message.
 type MsgKind byte
 
 // The kinds of messages.
 const (
-	Ask     MsgKind = 1 + iota // to the publisher: what is in force? I act on Version; I looked at Doc, and Reason is wrong with it
-	Grant                      // its answer to Seq: act on Version. Doc is proposed
-	Want                       // send me the Missing pieces of Doc
-	Piece                      // the piece I of N of Doc
-	Offer                      // to the publisher: put Doc in force
-	Outcome                    // its answer: Doc is put aside, as Who says Reason
-	lastMsg = Outcome
+	Request      MsgKind = 1 + iota // to the publisher: requests the version in force; the sender acts on Version and checked Doc, with error Reason
+	Grant                           // response to Seq: the receiver may act on Version; Doc is proposed
+	PieceRequest                    // requests the Missing pieces of Doc
+	Piece                           // piece Index of NumPieces of Doc
+	Offer                           // to the publisher: requests that Doc be put into force
+	Outcome                         // response to Offer: Doc is dropped, because Scheduler refuses it for Reason
+	lastKind     = Outcome
 )
 
-// PieceSize is how much of a document one datagram holds.
+// PieceSize is the maximum number of bytes of a document in one datagram.
 const PieceSize = 200
 
-// maxPieces is how many pieces a document has at most; Missing has a bit for each.
+// maxPieces is the maximum number of pieces of a document. Msg.Missing has one bit for each.
 const maxPieces = (MaxBytes + PieceSize - 1) / PieceSize
 
-// Msg is what schedulers say of the rules.
+// Msg is a message between schedulers about the agreed settings.
 type Msg struct {
-	Kind    MsgKind
-	Valid   bool // Ask: the permission for Version has not ended
-	Life    uint32
-	Seq     uint32
-	Version Version
-	Doc     Digest
-	Duty    uint64 // Ask: the publisher's number, as the asker knows it
-	Who     int
-	Missing uint64
-	I, N    int
-	Reason  string
-	Data    []byte
+	Kind             MsgKind
+	Valid            bool // Request: the permission for Version has not expired
+	RunID            uint32
+	Seq              uint32
+	Version          Version
+	Doc              Digest
+	Duty             uint64 // Request: the publisher's number, as known to the sender
+	Scheduler        int
+	Missing          uint64
+	Index, NumPieces int
+	Reason           string
+	Data             []byte
 }
 
-// Format is the first byte of a datagram that holds such a message.
+// Format is the first byte of a datagram with a rules message.
 const Format = 0x54
 
-const fixed = 1 + 1 + 4 + 4 + 3*8 + 8 + 8 + 2
+const fixedSize = 1 + 1 + 4 + 4 + 3*8 + 8 + 8 + 2
 
-// Append writes a message as a datagram. Digest is of what must be the same at both ends.
-func (x *Msg) Append(raw []byte, digest uint32) []byte {
-	raw = append(frame.Begin(raw, Format, digest), byte(x.Kind))
+// Append encodes a message as a datagram and appends it to raw. digest is the hash of the
+// configuration that must be equal on both ends.
+func (msg *Msg) Append(raw []byte, digest uint32) []byte {
+	raw = append(frame.Begin(raw, Format, digest), byte(msg.Kind))
 	le := binary.LittleEndian
-	switch x.Kind {
-	case Want:
-		raw = le.AppendUint64(le.AppendUint64(raw, uint64(x.Doc)), x.Missing)
+	switch msg.Kind {
+	case PieceRequest:
+		raw = le.AppendUint64(le.AppendUint64(raw, uint64(msg.Doc)), msg.Missing)
 	case Piece:
-		raw = append(le.AppendUint64(raw, uint64(x.Doc)), byte(x.I), byte(x.N))
-		raw = append(raw, x.Data[:min(len(x.Data), PieceSize)]...)
+		raw = append(le.AppendUint64(raw, uint64(msg.Doc)), byte(msg.Index), byte(msg.NumPieces))
+		raw = append(raw, msg.Data[:min(len(msg.Data), PieceSize)]...)
 	default:
 		valid := byte(0)
-		if x.Valid {
+		if msg.Valid {
 			valid = 1
 		}
 		raw = append(raw, valid)
-		raw = le.AppendUint32(raw, x.Life)
-		raw = le.AppendUint32(raw, x.Seq)
-		for _, v := range []uint64{x.Version.Number, uint64(x.Version.A), uint64(x.Version.B), uint64(x.Doc), x.Duty} {
+		raw = le.AppendUint32(raw, msg.RunID)
+		raw = le.AppendUint32(raw, msg.Seq)
+		for _, v := range []uint64{msg.Version.Number, uint64(msg.Version.A), uint64(msg.Version.B), uint64(msg.Doc), msg.Duty} {
 			raw = le.AppendUint64(raw, v)
 		}
-		raw = le.AppendUint16(raw, uint16(x.Who))
-		raw = append(raw, x.Reason[:min(len(x.Reason), MaxReason)]...)
+		raw = le.AppendUint16(raw, uint16(msg.Scheduler))
+		raw = append(raw, msg.Reason[:min(len(msg.Reason), MaxReasonBytes)]...)
 	}
 	return frame.Seal(raw)
 }
 
-// Parse reads a datagram. It keeps nothing of it.
-func (x *Msg) Parse(raw []byte, digest uint32) error {
-	b, err := frame.Open(raw, Format, digest)
+// Parse decodes a datagram and retains no reference to it.
+func (msg *Msg) Parse(raw []byte, digest uint32) error {
+	body, err := frame.Open(raw, Format, digest)
 	if err != nil {
 		return err
 	}
-	if len(b) < 1 || b[0] < byte(Ask) || b[0] > byte(lastMsg) {
+	if len(body) < 1 || body[0] < byte(Request) || body[0] > byte(lastKind) {
 		return frame.ErrInvalid
 	}
 	le := binary.LittleEndian
-	*x = Msg{Kind: MsgKind(b[0])}
-	switch x.Kind {
-	case Want:
-		if len(b) != 17 {
+	*msg = Msg{Kind: MsgKind(body[0])}
+	switch msg.Kind {
+	case PieceRequest:
+		if len(body) != 17 {
 			return frame.ErrInvalid
 		}
-		x.Doc, x.Missing = Digest(le.Uint64(b[1:])), le.Uint64(b[9:])
+		msg.Doc, msg.Missing = Digest(le.Uint64(body[1:])), le.Uint64(body[9:])
 	case Piece:
-		if len(b) < 12 || len(b) > 11+PieceSize || int(b[9]) >= int(b[10]) || int(b[10]) > maxPieces {
+		if len(body) < 12 || len(body) > 11+PieceSize || int(body[9]) >= int(body[10]) || int(body[10]) > maxPieces {
 			return frame.ErrInvalid
 		}
-		x.Doc, x.I, x.N, x.Data = Digest(le.Uint64(b[1:])), int(b[9]), int(b[10]), bytes.Clone(b[11:])
+		msg.Doc, msg.Index, msg.NumPieces, msg.Data = Digest(le.Uint64(body[1:])), int(body[9]), int(body[10]), bytes.Clone(body[11:])
 	default:
-		if len(b) < fixed || len(b) > fixed+MaxReason || b[1] > 1 {
+		if len(body) < fixedSize || len(body) > fixedSize+MaxReasonBytes || body[1] > 1 {
 			return frame.ErrInvalid
 		}
-		x.Valid, x.Life, x.Seq = b[1] == 1, le.Uint32(b[2:]), le.Uint32(b[6:])
-		x.Version = Version{le.Uint64(b[10:]), Digest(le.Uint64(b[18:])), Digest(le.Uint64(b[26:]))}
-		x.Doc, x.Duty, x.Who, x.Reason = Digest(le.Uint64(b[34:])), le.Uint64(b[42:]), int(le.Uint16(b[50:])), string(b[fixed:])
+		msg.Valid, msg.RunID, msg.Seq = body[1] == 1, le.Uint32(body[2:]), le.Uint32(body[6:])
+		msg.Version = Version{le.Uint64(body[10:]), Digest(le.Uint64(body[18:])), Digest(le.Uint64(body[26:]))}
+		msg.Doc, msg.Duty, msg.Scheduler, msg.Reason = Digest(le.Uint64(body[34:])), le.Uint64(body[42:]), int(le.Uint16(body[50:])), string(body[fixedSize:])
 	}
 	return nil
 }
--- a/internal/fleet/rules/publisher.go
+++ b/internal/fleet/rules/publisher.go
@@ -2,233 +2,236 @@
 
 import "math"
 
-// publisher is what the holder of the duty keeps. Nothing of it outlives the number under which it is held.
+// publisher is the state of the holder of the duty. It is discarded when the number under which the
+// duty is held changes.
 type publisher struct {
-	duty      uint64 // 0: this scheduler does not publish
-	since     float64
-	settled   bool    // it has waited for what earlier publishers granted to end
-	count     uint64  // versions made under this number
-	best      Version // the newest that anybody said it has, while it waits
-	now       Version // what is granted
-	askers    []asker
-	next      Digest  // the proposal; 0: none
-	by        int     // who offers it
-	nextSince float64 // it has been looked at since then
-	whole     bool    // that all act on what is granted was told
+	duty       uint64 // 0: this scheduler does not publish
+	since      float64
+	settled    bool    // has waited until all grants of earlier publishers have expired
+	count      uint64  // versions created under this number
+	newest     Version // newest version that any scheduler reported, while not settled
+	granted    Version // version that is granted
+	peers      []peer
+	proposal   Digest  // 0: no proposal
+	proposer   int     // scheduler that offered the proposal
+	proposedAt float64 // time since which the proposal is being checked
+	adopted    bool    // Adopted was emitted for the granted version
 }
 
-// asker is what the publisher keeps of one scheduler.
-type asker struct {
-	heardAt float64
-	has     Version // what it said last that it acts on
-	valid   bool
-	oldAt   float64 // when it was last granted another version than the one that is granted now
-	checked Digest
-	fault   string
+// peer is what the publisher records about one scheduler.
+type peer struct {
+	requestAt      float64
+	current        Version // version that it last reported to act on
+	valid          bool
+	otherGrantedAt float64 // when it was last granted a version other than the one that is granted now
+	checked        Digest
+	checkError     string
 }
 
 func (p *publisher) reset(fleet int, duty uint64, now float64) {
 	*p = publisher{duty: duty, since: now}
 	if duty > 0 {
-		p.askers = make([]asker, fleet)
-		for i := range p.askers {
-			p.askers[i].heardAt, p.askers[i].oldAt = math.Inf(-1), math.Inf(-1)
+		p.peers = make([]peer, fleet)
+		for i := range p.peers {
+			p.peers[i].requestAt, p.peers[i].otherGrantedAt = math.Inf(-1), math.Inf(-1)
 		}
 	}
 }
 
-// asked answers a scheduler that asks what is in force, and notes what it says.
-func (m *Machine) asked(now float64, who int, x *Msg) {
-	a := &m.askers[who]
-	a.heardAt, a.has, a.valid = now, x.Version, x.Valid
-	if x.Doc != 0 {
-		a.checked, a.fault = x.Doc, x.Reason
-	}
-	v := m.now
+// onRequest answers a scheduler's request for the version in force, and records its report.
+func (m *Machine) onRequest(now float64, who int, msg *Msg) {
+	peer := &m.peers[who]
+	peer.requestAt, peer.current, peer.valid = now, msg.Version, msg.Valid
+	if msg.Doc != 0 {
+		peer.checked, peer.checkError = msg.Doc, msg.Reason
+	}
+	version := m.granted
 	if !m.settled {
-		if x.Version.Number > m.best.Number {
-			m.best = x.Version
+		if msg.Version.Number > m.newest.Number {
+			m.newest = msg.Version
 		}
-		// Until all that earlier publishers granted has ended, each goes on with what it has. Nobody else gets it.
-		if v = x.Version; !x.Valid {
-			v = Version{}
+		// Until all grants of earlier publishers have expired, each scheduler keeps its version. No
+		// other scheduler is granted that version.
+		if version = msg.Version; !msg.Valid {
+			version = Version{}
 		}
 	}
-	if v.Number > 0 && v != m.now {
-		a.oldAt = now
+	if version.Number > 0 && version != m.granted {
+		peer.otherGrantedAt = now
 	}
-	g := Msg{Kind: Grant, Life: x.Life, Seq: x.Seq, Version: v, Doc: m.next}
-	if who == m.c.Self {
-		m.granted(now, who, &g)
+	grant := Msg{Kind: Grant, RunID: msg.RunID, Seq: msg.Seq, Version: version, Doc: m.proposal}
+	if who == m.config.Self {
+		m.onGrant(now, who, &grant)
 		return
 	}
-	m.send(who, g)
+	m.send(who, grant)
 }
 
-// work moves on from version to version.
-func (m *Machine) work(now float64, ev *Event) {
+// advance proceeds to the next version when its conditions are met.
+func (m *Machine) advance(now float64, ev *Event) {
 	if !m.settled {
-		if now >= m.since+m.c.Agree || m.c.Unsafe.NoWait {
-			m.settle(now)
+		if now >= m.since+m.config.Agree || m.config.Unsafe.NoWait {
+			m.startGranting(now)
 		}
 		return
 	}
-	if !m.has(m.now) { // what it is to grant it has not received itself
+	if !m.hasDocs(m.granted) { // documents of the granted version have not been received here yet
 		return
 	}
 	all := true
-	for i := range m.askers {
-		a := &m.askers[i]
-		if a.has == m.now {
+	for i := range m.peers {
+		a := &m.peers[i]
+		if a.current == m.granted {
 			continue
 		}
-		// One that does not act on it is dead, cut off, or about to; it may act on the one before until that ends.
-		if now < a.oldAt+m.c.Agree && !m.c.Unsafe.NoWait {
+		// A peer that does not act on the granted version is dead, isolated, or about to. It may act
+		// on the previous version until that permission ends.
+		if now < a.otherGrantedAt+m.config.Agree && !m.config.Unsafe.NoWait {
 			return
 		}
 		all = all && !(ev.Alive == nil || ev.Alive(i))
 	}
 	switch {
-	case m.now.B != 0: // nobody acts on the first of the pair any more
-		m.grant(now, Version{A: m.now.B})
-	case all && !m.whole:
-		m.whole = true
-		m.do(Action{Kind: Adopted, Version: m.now, Digest: m.now.A})
+	case m.granted.B != 0: // no scheduler acts on the first of the pair any more
+		m.grant(now, Version{A: m.granted.B})
+	case all && !m.adopted:
+		m.adopted = true
+		m.emit(Action{Kind: Adopted, Version: m.granted, Digest: m.granted.A})
 	}
-	if m.next != 0 && m.now.B == 0 && m.next != m.now.A && m.docs[m.next] != nil {
-		m.poll(now, ev)
+	if m.proposal != 0 && m.granted.B == 0 && m.proposal != m.granted.A && m.docs[m.proposal] != nil {
+		m.decideProposal(now, ev)
 	}
 }
 
-// settle begins with the newest version that anybody has, under a number of this publisher's, so that no
-// number that somebody acts on is ever passed by an older one.
-func (m *Machine) settle(now float64) {
-	if m.best.Number < m.have.Number {
-		m.best = m.have
-	}
-	v := m.best
-	if v.Number == 0 {
-		d, err := m.keep(m.c.First)
+// startGranting starts with the newest version that any scheduler has, under a number of this
+// publisher. The number is therefore higher than any number that a scheduler acts on.
+func (m *Machine) startGranting(now float64) {
+	if m.newest.Number < m.current.Number {
+		m.newest = m.current
+	}
+	version := m.newest
+	if version.Number == 0 {
+		d, err := m.storeDoc(m.config.First)
 		if err != nil {
-			m.do(Action{Kind: Alarm, Who: m.c.Self, Reason: err.Error()}) // New kept it
+			m.emit(Action{Kind: Alarm, Scheduler: m.config.Self, Reason: err.Error()}) // cannot happen: New stored the same document
 			return
 		}
-		v = Version{A: d}
+		version = Version{A: d}
 	}
-	if !m.got(now, m.owner(v), v) {
-		if now < m.since+patience*m.c.Agree {
+	if !m.fetchMissing(now, m.schedulerWith(version), version) {
+		if now < m.since+proposalTimeoutLeases*m.config.Agree {
 			return
 		}
-		// Nobody sends it. What this scheduler has itself goes on, rather than nothing.
+		// No scheduler sends it. Continue with this scheduler's own version rather than with none.
 		m.Counts.Alarms++
-		m.do(Action{Kind: Alarm, Who: m.c.Self, Version: v, Reason: "the newest version cannot be had from anybody: an older one goes on"})
-		if v = m.have; v.Number == 0 {
-			d, err := m.keep(m.c.First)
+		m.emit(Action{Kind: Alarm, Scheduler: m.config.Self, Version: version, Reason: "no scheduler provides the newest version; an older one is used"})
+		if version = m.current; version.Number == 0 {
+			d, err := m.storeDoc(m.config.First)
 			if err != nil {
 				return
 			}
-			v = Version{A: d}
+			version = Version{A: d}
 		}
 	}
 	m.settled = true
-	m.grant(now, v)
+	m.grant(now, version)
 }
 
-// owner is somebody who has a version.
-func (m *Machine) owner(v Version) int {
-	for i := range m.askers {
-		if m.askers[i].has == v && i != m.c.Self {
+// schedulerWith returns a scheduler that has a version.
+func (m *Machine) schedulerWith(v Version) int {
+	for i := range m.peers {
+		if m.peers[i].current == v && i != m.config.Self {
 			return i
 		}
 	}
-	return m.c.Self
+	return m.config.Self
 }
 
-func (m *Machine) has(v Version) bool {
+func (m *Machine) hasDocs(v Version) bool {
 	return m.docs[v.A] != nil && (v.B == 0 || m.docs[v.B] != nil)
 }
 
-// grant goes over to a version: from now on it is what all are granted.
+// grant makes a version the one that all schedulers are granted.
 func (m *Machine) grant(now float64, v Version) {
 	m.count++
 	v.Number = m.duty<<16 | m.count
-	if m.now, m.whole = v, false; v.target() == m.next && v.B == 0 {
-		m.next = 0
+	if m.granted, m.adopted = v, false; v.target() == m.proposal && v.B == 0 {
+		m.proposal = 0
 	}
-	for i := range m.askers {
-		// What it was granted until now it may act on for as long as that lasts.
-		if a := &m.askers[i]; a.heardAt > math.Inf(-1) {
-			a.oldAt = max(a.oldAt, a.heardAt)
+	for i := range m.peers {
+		// It may act on the previously granted version until that permission ends.
+		if a := &m.peers[i]; a.requestAt > math.Inf(-1) {
+			a.otherGrantedAt = max(a.otherGrantedAt, a.requestAt)
 		}
 	}
-	m.askAt = min(m.askAt, now) // this scheduler, too
+	m.nextRequestAt = min(m.nextRequestAt, now) // this scheduler requests it too
 }
 
-// poll goes over to the proposal once all that live have looked at it.
-func (m *Machine) poll(now float64, ev *Event) {
-	for i := range m.askers {
-		a := &m.askers[i]
-		if a.checked == m.next && a.fault != "" {
-			m.aside(i, a.fault)
+// decideProposal switches to the proposal once all live members have accepted it, or drops it.
+func (m *Machine) decideProposal(now float64, ev *Event) {
+	for i := range m.peers {
+		a := &m.peers[i]
+		if a.checked == m.proposal && a.checkError != "" {
+			m.dropProposal(i, a.checkError)
 			return
 		}
 	}
-	for i := range m.askers {
-		a := &m.askers[i]
-		if a.checked == m.next || ev.Alive != nil && !ev.Alive(i) {
+	for i := range m.peers {
+		a := &m.peers[i]
+		if a.checked == m.proposal || ev.Alive != nil && !ev.Alive(i) {
 			continue
 		}
-		if now >= m.nextSince+patience*m.c.Agree {
-			m.aside(i, "it says nothing of it")
+		if now >= m.proposedAt+proposalTimeoutLeases*m.config.Agree {
+			m.dropProposal(i, "the scheduler did not report a result for the proposal")
 		}
 		return
 	}
-	from, to := m.docs[m.now.A], m.docs[m.next]
-	v := Version{A: m.next}
-	if !m.c.Unsafe.NoMeet && len(Contradicts(from, to)) > 0 {
-		v = Version{A: m.now.A, B: m.next}
+	from, to := m.docs[m.granted.A], m.docs[m.proposal]
+	version := Version{A: m.proposal}
+	if !m.config.Unsafe.NoIntermediate && len(Contradicts(from, to)) > 0 {
+		version = Version{A: m.granted.A, B: m.proposal}
 	}
-	m.grant(now, v)
+	m.grant(now, version)
 }
 
-// aside drops the proposal.
-func (m *Machine) aside(who int, reason string) {
-	m.do(Action{Kind: Refused, Digest: m.next, Who: who, Reason: reason})
-	if m.by == m.c.Self {
-		m.offer = 0
+// dropProposal drops the proposal and notifies its proposer.
+func (m *Machine) dropProposal(who int, reason string) {
+	m.emit(Action{Kind: Refused, Digest: m.proposal, Scheduler: who, Reason: reason})
+	if m.proposer == m.config.Self {
+		m.offered = 0
 	} else {
-		m.send(m.by, Msg{Kind: Outcome, Doc: m.next, Who: who, Reason: reason})
+		m.send(m.proposer, Msg{Kind: Outcome, Doc: m.proposal, Scheduler: who, Reason: reason})
 	}
-	m.next = 0
+	m.proposal = 0
 }
 
-// offered takes a document that somebody wants put in force, if there is no other one on its way.
-func (m *Machine) offered(now float64, from int, d Digest) {
+// onOffer accepts an offered document as the proposal, unless another one is in progress.
+func (m *Machine) onOffer(now float64, from int, d Digest) {
 	switch {
-	case !m.settled || d == m.next || d == m.now.target():
-	case m.next != 0 || m.now.B != 0:
-		if from != m.c.Self {
-			m.send(from, Msg{Kind: Outcome, Doc: d, Who: m.c.Self, Reason: "another version is on its way"})
+	case !m.settled || d == m.proposal || d == m.granted.target():
+	case m.proposal != 0 || m.granted.B != 0:
+		if from != m.config.Self {
+			m.send(from, Msg{Kind: Outcome, Doc: d, Scheduler: m.config.Self, Reason: "another version is in progress"})
 		} else {
-			m.offer = 0
-			m.do(Action{Kind: Refused, Digest: d, Who: from, Reason: "another version is on its way"})
+			m.offered = 0
+			m.emit(Action{Kind: Refused, Digest: d, Scheduler: from, Reason: "another version is in progress"})
 		}
 	default:
-		m.next, m.by, m.nextSince = d, from, now
-		for i := range m.askers {
-			m.askers[i].checked = 0
+		m.proposal, m.proposer, m.proposedAt = d, from, now
+		for i := range m.peers {
+			m.peers[i].checked = 0
 		}
 		if m.docs[d] == nil {
 			m.fetch(now, from, d, 0)
 			return
 		}
-		m.arrived(now, d)
+		m.onDocArrived(now, d)
 	}
 }
 
-// arrived goes on with a document that was asked for.
-func (m *Machine) arrived(now float64, d Digest) {
-	if d == m.next && m.checked != d {
-		m.look(now, m.c.Self, d)
+// onDocArrived continues with a document that was fetched.
+func (m *Machine) onDocArrived(now float64, d Digest) {
+	if d == m.proposal && m.checked != d {
+		m.checkProposal(now, m.config.Self, d)
 	}
 }
--- a/internal/fleet/rules/rules.go
+++ b/internal/fleet/rules/rules.go
@@ -1,14 +1,18 @@
-// Package rules has the schedulers agree on numbered versions of a document, so that no two act on versions
-// that contradict each other. docs/design/rules.md says why it is so, what is promised and why that holds.
+// Package rules lets the schedulers agree on numbered versions of a document with settings, so that no
+// two schedulers act on versions that contradict each other. docs/design/rules.md gives the reasons,
+// the guarantees and why they hold.
 //
-// One scheduler at a time publishes, by the lease of a duty. Each other one asks it again and again what is
-// in force, and acts on the answer for a stated time from when it asked, by its own clock. A new version
-// that contradicts the one before is granted to nobody before all permission for that one has ended;
-// between the two lies one that contradicts neither, the stricter of each pair. Who is cut off, or stood still,
-// goes over to the strict form of its version by itself, and serves on.
+// One scheduler at a time publishes; it holds the lease of a duty. Every scheduler repeatedly requests
+// the version in force from the publisher, and may act on the granted version for a stated time from
+// its request, by its own clock. A new version that contradicts the current one is granted only after
+// all permission for the current one has expired. Between the two, an intermediate version is granted
+// that contradicts neither: the stricter of each pair of values. A scheduler that is isolated or was
+// paused switches to the strict form of its version by itself, and continues to serve.
 //
-// It is a state machine without I/O: events in, actions out. Under which number this scheduler holds the
-// duty comes with each event, read at that moment. Times are milliseconds on the host's clock.
+// The Machine is given events (messages, timers, documents to publish) and returns actions (messages
+// to send, documents to apply). It performs no I/O and does not enforce the settings itself. Each
+// event carries the fencing number under which this scheduler holds the duty, read at that moment.
+// Times are in milliseconds on the host's clock.
 package rules
 
 import (
@@ -22,64 +26,66 @@
 const Duty = "publisher"
 
 const (
-	asks      = 4.0  // askings in the time that a permission lasts
-	patience  = 8.0  // permissions' time until a proposal that some say nothing of is dropped
-	burst     = 8    // pieces sent for one wish
-	wishEvery = 50.0 // ms between two wishes for the same document
-	maxDocs   = 8    // kept beside those in use
-	maxParts  = 3    // documents that are half received
-	// MaxReason is the length of why a document is refused, in bytes.
-	MaxReason = 120
+	requestsPerLease      = 4.0  // requests to the publisher in the time that a permission lasts
+	proposalTimeoutLeases = 8.0  // a proposal without a decision by all live members is dropped after this many times Config.Agree
+	maxPiecesPerRequest   = 8    // pieces sent in response to one request
+	requestIntervalMS     = 50.0 // ms between two requests for pieces of the same document
+	maxStoredDocs         = 8    // documents kept in addition to those in use
+	maxPartialDocs        = 3    // documents of which only some pieces were received
+	// MaxReasonBytes is the maximum length of the reason for refusing a document.
+	MaxReasonBytes = 120
 )
 
-// Config sets a machine up. Agree and Drift must be the same at all schedulers.
+// Config configures a Machine. Agree and Drift must be the same on all schedulers.
 type Config struct {
 	Self, Fleet int
-	Life        uint32   // drawn at each start
-	Agree       float64  // ms: the stated time; a permission lasts no longer by any clock
-	Drift       float64  // share by which clocks may run too fast or too slow
-	Classes     []string // of the platform's settings
-	First       *Doc     // in force where nobody knows of any version
-	Check       func(*Doc) error
-	Seed        uint64
-
-	// For tests that see whether checkers find what they are to find; off in service.
+	Life        uint32   // random number of this run
+	Agree       float64  // ms that a permission is valid; it lasts no longer by any clock
+	Drift       float64  // maximum relative clock rate error, fast or slow
+	Classes     []string // classes in the platform's settings
+	First       *Doc     // document in force while no scheduler knows of any version
+	// Check validates a proposed document against the platform's settings; nil accepts all.
+	Check func(*Doc) error
+	Seed  uint64
+
+	// Unsafe disables safety measures, so that tests can verify that the checkers detect the
+	// violations. It is zero in production.
 	Unsafe Unsafe
 }
 
-// Unsafe leaves out what the promise rests on.
+// Unsafe disables single measures on which the guarantee rests.
 type Unsafe struct {
-	NoExpiry bool // act on what was granted last, without a look at the clock
-	NoWait   bool // grant the next version at once
-	NoMeet   bool // go over without a version between
+	NoExpiry       bool // act on the last grant after it has expired
+	NoWait         bool // grant the next version immediately
+	NoIntermediate bool // switch without an intermediate version
 }
 
-// Default is what an operator's file leaves out.
+// Default returns the values of settings that the operator's file omits.
 func Default() Config { return Config{Agree: 3000, Drift: 0.01} }
 
-// CheckConfig returns an error that names the setting that is impossible.
+// CheckConfig returns an error that names the first invalid setting.
 func (c *Config) CheckConfig() error {
 	switch {
 	case c.Fleet < 1 || c.Self < 0 || c.Self >= c.Fleet:
-		return fmt.Errorf("rules: scheduler %d of %d", c.Self, c.Fleet)
+		return fmt.Errorf("rules: scheduler %d of %d is out of range", c.Self, c.Fleet)
 	case !(c.Agree >= 200 && c.Agree <= 60_000):
-		return fmt.Errorf("rules: agree_within is %gms, and may be 200ms to 1m", c.Agree)
+		return fmt.Errorf("rules: agree_within is %gms; it must be 200ms to 1m", c.Agree)
 	case !(c.Drift >= 0 && c.Drift <= 0.1):
-		return fmt.Errorf("rules: drift is %g, and may be 0 to 0.1", c.Drift)
+		return fmt.Errorf("rules: drift is %g; it must be 0 to 0.1", c.Drift)
 	case c.First == nil:
-		return fmt.Errorf("rules: no document to begin with")
+		return fmt.Errorf("rules: no document is configured as the first version")
 	}
 	return c.First.Check()
 }
 
-// Version is a document, or what lies between two, under its number. Numbers rise over the whole fleet and over
-// all restarts: their upper part is that of the publisher's duty.
+// Version is a numbered document, or the intermediate of two documents. Numbers increase over the
+// whole fleet and over all restarts: their upper part is the fencing number of the publisher's duty.
 type Version struct {
 	Number uint64
-	A, B   Digest // B: 0, or it is the stricter of each pair of A and B
+	A, B   Digest // B is 0 unless the version is the intermediate of A and B, the stricter of each pair of values
 }
 
-// target is the document that a version is, or leads to.
+// target returns the document that a version is or leads to.
 func (v Version) target() Digest {
 	if v.B != 0 {
 		return v.B
@@ -87,279 +93,285 @@
 	return v.A
 }
 
-// EventKind tells events apart.
+// EventKind is the kind of an Event.
 type EventKind int
 
 // The kinds of events.
 const (
-	Due     EventKind = iota // the time asked for has come
-	Heard                    // a message: From, Msg
-	Publish                  // Doc is to be put in force
+	Due             EventKind = iota // the requested wake-up time is reached
+	MessageReceived                  // a message was received: From, Msg
+	Publish                          // Doc is to be put into force
 )
 
-// Event is one thing that happened.
+// Event is one input to the Machine.
 type Event struct {
 	Kind EventKind
 	From int
 	Msg  *Msg
 	Doc  *Doc
 
-	Duty     uint64 // the number under which this scheduler holds the duty now; 0: it does not
-	Holder   int    // who holds it, as far as known; -1: nobody
-	HolderNo uint64 // and under which number
-	Alive    func(who int) bool
+	Duty         uint64 // number under which this scheduler holds the duty now; 0: it does not hold the duty
+	Holder       int    // holder of the duty, as far as known; -1: unknown
+	HolderNumber uint64 // number under which Holder holds the duty
+	Alive        func(who int) bool
 }
 
-// ActionKind tells actions apart.
+// ActionKind is the kind of an Action.
 type ActionKind int
 
 // The kinds of actions.
 const (
-	Send    ActionKind = iota // Msg, to scheduler To
-	Rule                      // act on Doc, of Version, until Until; Strict: it is the strict form, and has no end
-	Wake                      // ask for Due at At; a later one replaces it
-	Adopted                   // all that live act on Version, which is Digest
-	Refused                   // Digest is put aside: Who does not take it, for Reason
-	Alarm                     // something that cannot be: Reason
+	Send    ActionKind = iota // send Msg to scheduler To
+	Apply                     // apply Doc, of Version, until Until; Strict: Doc is the strict form and has no end
+	Wake                      // deliver Due at At; replaces an earlier wake-up
+	Adopted                   // all live members act on Version, which is Digest
+	Refused                   // Digest is dropped: Scheduler refuses it, for Reason
+	Alarm                     // an inconsistency was detected: Reason
 )
 
-// Action is one thing that the host must do, in order.
+// Action is one output of the Machine. The host carries out actions in order.
 type Action struct {
-	Kind    ActionKind
-	To      int
-	Msg     *Msg
-	Version Version
-	Doc     *Doc
-	Strict  bool
-	Until   float64
-	At      float64
-	Digest  Digest
-	Who     int
-	Reason  string
-}
-
-// partial is a document that is half received.
+	Kind      ActionKind
+	To        int
+	Msg       *Msg
+	Version   Version
+	Doc       *Doc
+	Strict    bool
+	Until     float64
+	At        float64
+	Digest    Digest
+	Scheduler int
+	Reason    string
+}
+
+// partial is a document of which only some pieces were received.
 type partial struct {
-	digest Digest
-	pieces [][]byte
-	from   int
-	wishAt float64
+	digest    Digest
+	pieces    [][]byte
+	from      int
+	requestAt float64
 }
 
-// Counts are a machine's figures.
+// Counts holds event counters.
 type Counts struct {
-	Stale, Foreign, Lapsed, Alarms int
+	Stale, Ignored, Expired, Alarms int
 }
 
-// Machine asks what is in force, and publishes while it holds the duty.
+// Machine requests the version in force, and publishes while it holds the duty. Create it with New.
 type Machine struct {
-	c    Config
-	rng  *rand.Rand
-	docs map[Digest]*Doc
-	pack map[Digest][]byte
-	old  []Digest // in the order in which they came
-	half []*partial
-
-	// As one who asks.
-	seq     uint32
-	askedAt [8]float64 // by the last bits of seq
-	askAt   float64    // the next time
-	have    Version    // acted on, or its strict form; Number 0: none yet
-	until   float64
-	strict  bool
-	ready   Version // granted, and not all of it has been received
-	readyTo float64
-	checked Digest // the proposal that was looked at last
-	fault   string // and what is wrong with it
-
-	// As one who has a document to publish.
-	offer   Digest
-	offerTo float64 // given up then
+	config   Config
+	rng      *rand.Rand
+	docs     map[Digest]*Doc
+	packed   map[Digest][]byte
+	docOrder []Digest // digests of docs, in order of arrival
+	partials []*partial
+
+	// The state of a scheduler that requests the version in force.
+	seq           uint32
+	requestedAt   [8]float64 // by seq modulo 8
+	nextRequestAt float64    // time of the next request
+	current       Version    // version acted on, or whose strict form is; Number 0: none yet
+	until         float64
+	strict        bool
+	pending       Version // granted, but not all of its documents have been received
+	pendingUntil  float64
+	checked       Digest // the latest proposal that was checked
+	checkError    string // why it was refused; empty if accepted
+
+	// The state of a scheduler that has a document to publish.
+	offered    Digest
+	offerUntil float64 // the offer is withdrawn at this time
 
 	publisher
-	acts []Action
+	actions []Action
 
 	Counts Counts
 }
 
-// New returns a machine that has just begun. Its first event, Due, should come at once.
-func New(c Config, now float64) (*Machine, error) {
-	if err := c.CheckConfig(); err != nil {
+// New returns a newly started machine. Its first event, Due, should be passed to Step immediately.
+func New(config Config, now float64) (*Machine, error) {
+	if err := config.CheckConfig(); err != nil {
 		return nil, err
 	}
-	m := &Machine{c: c, rng: rand.New(rand.NewPCG(c.Seed, uint64(c.Self)<<32|uint64(c.Life))), docs: map[Digest]*Doc{}, pack: map[Digest][]byte{},
-		askAt: now, strict: true, until: math.Inf(-1)}
-	if _, err := m.keep(c.First); err != nil {
+	m := &Machine{config: config, rng: rand.New(rand.NewPCG(config.Seed, uint64(config.Self)<<32|uint64(config.Life))), docs: map[Digest]*Doc{}, packed: map[Digest][]byte{},
+		nextRequestAt: now, strict: true, until: math.Inf(-1)}
+	if _, err := m.storeDoc(config.First); err != nil {
 		return nil, err
 	}
-	m.publisher.reset(c.Fleet, 0, now)
+	m.publisher.reset(config.Fleet, 0, now)
 	return m, nil
 }
 
-// hold is how long a permission lasts, from when it was asked for: by the fastest clock that ends before Agree
-// does by the slowest.
-func (m *Machine) hold() float64 { return m.c.Agree * (1 - m.c.Drift) / (1 + m.c.Drift) }
+// holdTime returns how long a permission lasts, in ms from its request. By the fastest clock this ends
+// before Agree ends by the slowest clock.
+func (m *Machine) holdTime() float64 {
+	return m.config.Agree * (1 - m.config.Drift) / (1 + m.config.Drift)
+}
 
-// InForce is what this scheduler may act on at a time, read at the moment of acting.
+// InForce returns the document that this scheduler may act on at the given time. Call it at the moment
+// of acting, with a time read then.
 func (m *Machine) InForce(now float64) (v Version, d *Doc, strict bool) {
-	d = m.c.First
-	if m.have.Number > 0 {
-		d = m.effective(m.have)
+	d = m.config.First
+	if m.current.Number > 0 {
+		d = m.effective(m.current)
 	}
-	if m.strict || now >= m.until && !m.c.Unsafe.NoExpiry {
-		return m.have, Strict(d, m.c.Classes, m.c.Fleet), true
+	if m.strict || now >= m.until && !m.config.Unsafe.NoExpiry {
+		return m.current, Strict(d, m.config.Classes, m.config.Fleet), true
 	}
-	return m.have, d, false
+	return m.current, d, false
 }
 
-// effective is the document that a version comes to; all of it has been received.
+// effective returns the document that a version stands for. All of its documents must have been
+// received.
 func (m *Machine) effective(v Version) *Doc {
 	if v.B == 0 {
 		return m.docs[v.A]
 	}
-	return Meet(m.docs[v.A], m.docs[v.B])
+	return Stricter(m.docs[v.A], m.docs[v.B])
 }
 
-// Step takes one event at the given time and appends the actions that answer it.
+// Step processes one event at the given time and appends the resulting actions to acts.
 func (m *Machine) Step(now float64, ev *Event, acts []Action) []Action {
-	m.acts = acts
+	m.actions = acts
 	if ev.Duty != m.duty {
-		m.publisher.reset(m.c.Fleet, ev.Duty, now)
+		m.publisher.reset(m.config.Fleet, ev.Duty, now)
 	}
 	if m.seq == 0 {
-		m.rule(now) // the host acts on nothing else before
+		m.apply(now) // the host must not act on any document before this
 	}
-	m.lapse(now)
+	m.expire(now)
 	switch ev.Kind {
-	case Heard:
-		m.heard(now, ev)
+	case MessageReceived:
+		m.receive(now, ev)
 	case Publish:
 		m.publish(now, ev.Doc)
 	}
-	m.lapse(now)
+	m.expire(now)
 	if m.duty > 0 {
-		m.work(now, ev)
+		m.advance(now, ev)
 	}
-	if now >= m.askAt {
-		m.askAt = now + m.c.Agree/asks*(0.9+0.2*m.rng.Float64())
-		m.ask(now, ev)
+	if now >= m.nextRequestAt {
+		m.nextRequestAt = now + m.config.Agree/requestsPerLease*(0.9+0.2*m.rng.Float64())
+		m.sendRequest(now, ev)
 	}
-	m.wish(now)
-	m.do(Action{Kind: Wake, At: m.nextAt(now)})
-	acts, m.acts = m.acts, nil
+	m.requestPieces(now)
+	m.emit(Action{Kind: Wake, At: m.nextAt(now)})
+	acts, m.actions = m.actions, nil
 	return acts
 }
 
-func (m *Machine) do(a Action) { m.acts = append(m.acts, a) }
+func (m *Machine) emit(a Action) { m.actions = append(m.actions, a) }
 
 func (m *Machine) send(to int, x Msg) {
-	if to >= 0 && to != m.c.Self {
-		m.do(Action{Kind: Send, To: to, Msg: &x})
+	if to >= 0 && to != m.config.Self {
+		m.emit(Action{Kind: Send, To: to, Msg: &x})
 	}
 }
 
-// nextAt is when there is something to do at the latest.
+// nextAt returns the time of the next timer, but no earlier than now.
 func (m *Machine) nextAt(now float64) float64 {
-	at := m.askAt
-	if !m.strict && !m.c.Unsafe.NoExpiry {
+	at := m.nextRequestAt
+	if !m.strict && !m.config.Unsafe.NoExpiry {
 		at = min(at, m.until)
 	}
-	for _, p := range m.half {
-		at = min(at, p.wishAt)
+	for _, p := range m.partials {
+		at = min(at, p.requestAt)
 	}
 	return max(at, now)
 }
 
-// lapse goes over to the strict form once nothing says any more that the version is in force.
-func (m *Machine) lapse(now float64) {
-	if !m.strict && now >= m.until && !m.c.Unsafe.NoExpiry {
+// expire switches to the strict form when the permission for the version has ended.
+func (m *Machine) expire(now float64) {
+	if !m.strict && now >= m.until && !m.config.Unsafe.NoExpiry {
 		m.strict = true
-		m.Counts.Lapsed++
-		m.rule(now)
+		m.Counts.Expired++
+		m.apply(now)
 	}
 }
 
-// rule tells the host what to act on.
-func (m *Machine) rule(now float64) {
+// apply reports to the host the document to act on.
+func (m *Machine) apply(now float64) {
 	v, d, strict := m.InForce(now)
-	m.do(Action{Kind: Rule, Version: v, Doc: d, Strict: strict, Until: m.until})
+	m.emit(Action{Kind: Apply, Version: v, Doc: d, Strict: strict, Until: m.until})
 }
 
-// ask asks what is in force, and says what is acted on here and what was found of the proposal.
-func (m *Machine) ask(now float64, ev *Event) {
+// sendRequest requests the version in force. The request reports the version that this scheduler acts
+// on and its result for the proposal.
+func (m *Machine) sendRequest(now float64, ev *Event) {
 	m.seq++
-	m.askedAt[m.seq%8] = now
-	x := Msg{Kind: Ask, Life: m.c.Life, Seq: m.seq, Version: m.have, Valid: !m.strict, Doc: m.checked, Reason: m.fault, Duty: ev.HolderNo}
+	m.requestedAt[m.seq%8] = now
+	msg := Msg{Kind: Request, RunID: m.config.Life, Seq: m.seq, Version: m.current, Valid: !m.strict, Doc: m.checked, Reason: m.checkError, Duty: ev.HolderNumber}
 	switch {
 	case m.duty > 0:
-		x.Duty = m.duty
-		m.asked(now, m.c.Self, &x)
+		msg.Duty = m.duty
+		m.onRequest(now, m.config.Self, &msg)
 	case ev.Holder >= 0:
-		m.send(ev.Holder, x)
+		m.send(ev.Holder, msg)
 	}
-	if m.offer != 0 {
-		m.offering(now, ev)
+	if m.offered != 0 {
+		m.sendOffer(now, ev)
 	}
 }
 
-// heard takes a message in.
-func (m *Machine) heard(now float64, ev *Event) {
-	x := ev.Msg
-	if ev.From < 0 || ev.From >= m.c.Fleet {
-		m.Counts.Foreign++
+// receive processes a message.
+func (m *Machine) receive(now float64, ev *Event) {
+	msg := ev.Msg
+	if ev.From < 0 || ev.From >= m.config.Fleet {
+		m.Counts.Ignored++
 		return
 	}
-	switch x.Kind {
-	case Ask:
-		if m.duty > 0 && x.Duty == m.duty {
-			m.asked(now, ev.From, x)
+	switch msg.Kind {
+	case Request:
+		if m.duty > 0 && msg.Duty == m.duty {
+			m.onRequest(now, ev.From, msg)
 		}
 	case Grant:
-		m.granted(now, ev.From, x)
-	case Want:
-		m.wanted(ev.From, x)
+		m.onGrant(now, ev.From, msg)
+	case PieceRequest:
+		m.sendPieces(ev.From, msg)
 	case Piece:
-		m.piece(now, x)
+		m.onPiece(now, msg)
 	case Offer:
 		if m.duty > 0 {
-			m.offered(now, ev.From, x.Doc)
+			m.onOffer(now, ev.From, msg.Doc)
 		}
 	case Outcome:
-		m.outcome(ev.From, x)
+		m.onOutcome(ev.From, msg)
 	}
 }
 
-// granted takes permission to act on a version, which counts from when it was asked for.
-func (m *Machine) granted(now float64, from int, x *Msg) {
-	if x.Life != m.c.Life || m.seq-x.Seq >= 8 || x.Version.Number < m.have.Number {
+// onGrant handles a permission to act on a version. The permission counts from its request.
+func (m *Machine) onGrant(now float64, from int, msg *Msg) {
+	if msg.RunID != m.config.Life || m.seq-msg.Seq >= 8 || msg.Version.Number < m.current.Number {
 		m.Counts.Stale++
 		return
 	}
-	if x.Version.Number == m.have.Number && x.Version != m.have || x.Version.Number == m.ready.Number && x.Version != m.ready && m.ready.Number > 0 {
+	if msg.Version.Number == m.current.Number && msg.Version != m.current || msg.Version.Number == m.pending.Number && msg.Version != m.pending && m.pending.Number > 0 {
 		m.Counts.Alarms++
-		m.do(Action{Kind: Alarm, Who: from, Version: x.Version, Reason: "two documents have one number"})
+		m.emit(Action{Kind: Alarm, Scheduler: from, Version: msg.Version, Reason: "two documents have one number"})
 		return
 	}
-	if x.Doc != 0 && x.Doc != m.checked {
-		m.look(now, from, x.Doc)
+	if msg.Doc != 0 && msg.Doc != m.checked {
+		m.checkProposal(now, from, msg.Doc)
 	}
-	if x.Version.Number == 0 {
+	if msg.Version.Number == 0 {
 		return
 	}
-	to := m.askedAt[x.Seq%8] + m.hold()
-	if now >= to {
+	until := m.requestedAt[msg.Seq%8] + m.holdTime()
+	if now >= until {
 		m.Counts.Stale++
 		return
 	}
-	if !m.got(now, from, x.Version) {
-		m.ready, m.readyTo = x.Version, to
+	if !m.fetchMissing(now, from, msg.Version) {
+		m.pending, m.pendingUntil = msg.Version, until
 		return
 	}
-	m.adopt(now, x.Version, to)
+	m.adopt(now, msg.Version, until)
 }
 
-// got says whether all of a version has been received, and asks for what has not.
-func (m *Machine) got(now float64, from int, v Version) bool {
+// fetchMissing reports whether all documents of a version have been received, and starts to fetch the
+// missing ones.
+func (m *Machine) fetchMissing(now float64, from int, v Version) bool {
 	all := true
 	for _, d := range []Digest{v.A, v.B} {
 		if d != 0 && m.docs[d] == nil {
@@ -370,137 +382,138 @@
 	return all
 }
 
-// adopt acts on a version until a time.
-func (m *Machine) adopt(now float64, v Version, to float64) {
-	news := m.strict || v != m.have
-	if v != m.have {
-		m.until = math.Inf(-1) // nothing of another version's permission goes on
+// adopt acts on a version until the given time.
+func (m *Machine) adopt(now float64, v Version, until float64) {
+	changed := m.strict || v != m.current
+	if v != m.current {
+		m.until = math.Inf(-1) // a permission for another version does not carry over
 	}
-	m.have, m.until, m.strict, m.ready = v, max(m.until, to), false, Version{}
-	if news || !m.c.Unsafe.NoExpiry {
-		m.rule(now)
+	m.current, m.until, m.strict, m.pending = v, max(m.until, until), false, Version{}
+	if changed || !m.config.Unsafe.NoExpiry {
+		m.apply(now)
 	}
-	if v.target() == m.offer && v.B == 0 {
-		m.offer = 0
+	if v.target() == m.offered && v.B == 0 {
+		m.offered = 0
 	}
-	if news {
-		m.askAt = min(m.askAt, now) // so that the publisher knows at once
+	if changed {
+		m.nextRequestAt = min(m.nextRequestAt, now) // report to the publisher immediately
 	}
 }
 
-// look looks at a proposal, once all of it has been received.
-func (m *Machine) look(now float64, from int, d Digest) {
+// checkProposal checks a proposal, once all of it has been received.
+func (m *Machine) checkProposal(now float64, from int, d Digest) {
 	doc := m.docs[d]
 	if doc == nil {
 		m.fetch(now, from, d, 0)
 		return
 	}
-	m.checked, m.fault = d, ""
-	if m.c.Check != nil {
-		if err := m.c.Check(doc); err != nil {
-			m.fault = err.Error()
-			m.fault = m.fault[:min(len(m.fault), MaxReason)]
+	m.checked, m.checkError = d, ""
+	if m.config.Check != nil {
+		if err := m.config.Check(doc); err != nil {
+			m.checkError = err.Error()
+			m.checkError = m.checkError[:min(len(m.checkError), MaxReasonBytes)]
 		}
 	}
-	m.askAt = min(m.askAt, now)
+	m.nextRequestAt = min(m.nextRequestAt, now)
 }
 
-// keep keeps a document. Those that nothing refers to go once there are too many.
-func (m *Machine) keep(d *Doc) (Digest, error) {
+// storeDoc stores a document. Documents that are not in use are removed once there are too many.
+func (m *Machine) storeDoc(d *Doc) (Digest, error) {
 	packed, digest, err := d.Pack()
 	if err != nil {
 		return 0, err
 	}
-	m.store(digest, d, packed)
+	m.storePacked(digest, d, packed)
 	return digest, nil
 }
 
-func (m *Machine) store(digest Digest, d *Doc, packed []byte) {
+func (m *Machine) storePacked(digest Digest, d *Doc, packed []byte) {
 	if m.docs[digest] == nil {
-		m.docs[digest], m.pack[digest] = d, packed
-		m.old = append(m.old, digest)
+		m.docs[digest], m.packed[digest] = d, packed
+		m.docOrder = append(m.docOrder, digest)
 	}
-	for i := 0; len(m.docs) > maxDocs && i < len(m.old); {
-		if x := m.old[i]; x == digest || m.uses(x) {
+	for i := 0; len(m.docs) > maxStoredDocs && i < len(m.docOrder); {
+		if x := m.docOrder[i]; x == digest || m.inUse(x) {
 			i++
 		} else {
 			delete(m.docs, x)
-			delete(m.pack, x)
-			m.old = slices.Delete(m.old, i, i+1)
+			delete(m.packed, x)
+			m.docOrder = slices.Delete(m.docOrder, i, i+1)
 		}
 	}
 }
 
-func (m *Machine) uses(d Digest) bool {
-	return slices.Contains([]Digest{m.have.A, m.have.B, m.ready.A, m.ready.B, m.offer, m.now.A, m.now.B, m.next, m.best.A, m.best.B}, d)
+func (m *Machine) inUse(d Digest) bool {
+	return slices.Contains([]Digest{m.current.A, m.current.B, m.pending.A, m.pending.B, m.offered, m.granted.A, m.granted.B, m.proposal, m.newest.A, m.newest.B}, d)
 }
 
-// fetch has a document asked for, of n pieces where that is known.
+// fetch starts to fetch a document, of n pieces if their number is known.
 func (m *Machine) fetch(now float64, from int, d Digest, n int) *partial {
-	for _, p := range m.half {
+	for _, p := range m.partials {
 		if p.digest == d {
 			p.from = from
 			return p
 		}
 	}
-	if len(m.half) >= maxParts {
-		m.half = m.half[1:] // the oldest: who still needs it asks anew
+	if len(m.partials) >= maxPartialDocs {
+		m.partials = m.partials[1:] // drop the oldest; it is requested again if still needed
 	}
-	p := &partial{digest: d, pieces: make([][]byte, n), from: from, wishAt: now}
-	m.half = append(m.half, p)
+	p := &partial{digest: d, pieces: make([][]byte, n), from: from, requestAt: now}
+	m.partials = append(m.partials, p)
 	return p
 }
 
-// wish asks for what is missing: of whoever told of it, and in turns of anybody, who may have it by now.
-func (m *Machine) wish(now float64) {
-	for _, p := range m.half {
-		if now < p.wishAt {
+// requestPieces requests missing pieces from the scheduler that announced the document, and from a
+// random scheduler, which may have it by now.
+func (m *Machine) requestPieces(now float64) {
+	for _, p := range m.partials {
+		if now < p.requestAt {
 			continue
 		}
-		x := Msg{Kind: Want, Doc: p.digest, Missing: math.MaxUint64}
+		msg := Msg{Kind: PieceRequest, Doc: p.digest, Missing: math.MaxUint64}
 		if len(p.pieces) > 0 {
-			x.Missing = 0
+			msg.Missing = 0
 			for i, b := range p.pieces {
 				if b == nil {
-					x.Missing |= 1 << i
+					msg.Missing |= 1 << i
 				}
 			}
 		}
-		m.send(p.from, x)
-		if m.c.Fleet > 2 {
-			m.send(m.rng.IntN(m.c.Fleet), x)
+		m.send(p.from, msg)
+		if m.config.Fleet > 2 {
+			m.send(m.rng.IntN(m.config.Fleet), msg)
 		}
-		p.wishAt = now + wishEvery*(1+m.rng.Float64())
+		p.requestAt = now + requestIntervalMS*(1+m.rng.Float64())
 	}
 }
 
-// wanted sends some of what another scheduler misses, if it is here.
-func (m *Machine) wanted(to int, x *Msg) {
-	packed := m.pack[x.Doc]
+// sendPieces sends some of the requested pieces, if this scheduler has the document.
+func (m *Machine) sendPieces(to int, msg *Msg) {
+	packed := m.packed[msg.Doc]
 	n, sent := (len(packed)+PieceSize-1)/PieceSize, 0
-	for i := 0; i < n && sent < burst; i++ {
-		if x.Missing>>i&1 == 1 {
-			m.send(to, Msg{Kind: Piece, Doc: x.Doc, I: i, N: n, Data: packed[i*PieceSize : min(len(packed), (i+1)*PieceSize)]})
+	for i := 0; i < n && sent < maxPiecesPerRequest; i++ {
+		if msg.Missing>>i&1 == 1 {
+			m.send(to, Msg{Kind: Piece, Doc: msg.Doc, Index: i, NumPieces: n, Data: packed[i*PieceSize : min(len(packed), (i+1)*PieceSize)]})
 			sent++
 		}
 	}
 }
 
-// piece takes a part of a document that is asked for. One whose parts do not come to its digest is asked for
-// anew.
-func (m *Machine) piece(now float64, x *Msg) {
-	i := slices.IndexFunc(m.half, func(p *partial) bool { return p.digest == x.Doc })
+// onPiece stores a requested piece of a document. If the complete pieces do not match the digest, all
+// of them are requested again.
+func (m *Machine) onPiece(now float64, msg *Msg) {
+	i := slices.IndexFunc(m.partials, func(p *partial) bool { return p.digest == msg.Doc })
 	if i < 0 {
 		m.Counts.Stale++
 		return
 	}
-	p := m.half[i]
-	if len(p.pieces) != x.N {
-		p.pieces = make([][]byte, x.N)
+	p := m.partials[i]
+	if len(p.pieces) != msg.NumPieces {
+		p.pieces = make([][]byte, msg.NumPieces)
 	}
-	if p.pieces[x.I] == nil {
-		p.pieces[x.I] = x.Data
-		p.wishAt = now + wishEvery // the rest is on its way
+	if p.pieces[msg.Index] == nil {
+		p.pieces[msg.Index] = msg.Data
+		p.requestAt = now + requestIntervalMS // the other pieces are in flight
 	}
 	if slices.ContainsFunc(p.pieces, func(b []byte) bool { return b == nil }) {
 		return
@@ -508,64 +521,65 @@
 	packed := slices.Concat(p.pieces...)
 	if digestOf(packed) != p.digest {
 		clear(p.pieces)
-		p.wishAt = now
+		p.requestAt = now
 		return
 	}
-	m.half = slices.Delete(m.half, i, i+1)
+	m.partials = slices.Delete(m.partials, i, i+1)
 	d, err := Unpack(packed)
 	if err != nil {
-		m.checked, m.fault = x.Doc, err.Error()[:min(len(err.Error()), MaxReason)]
+		m.checked, m.checkError = msg.Doc, err.Error()[:min(len(err.Error()), MaxReasonBytes)]
 		return
 	}
-	// It may have been written by another version of the program, in another form: it is kept as it came.
-	m.store(x.Doc, d, packed)
-	m.received(now, x.Doc, p.from)
+	// Another version of the program may have written it in another form, so the bytes are stored as
+	// received.
+	m.storePacked(msg.Doc, d, packed)
+	m.onDocComplete(now, msg.Doc, p.from)
 }
 
-// received goes on with what waited for a document.
-func (m *Machine) received(now float64, d Digest, from int) {
-	if m.ready.Number > 0 && now < m.readyTo && m.got(now, from, m.ready) {
-		m.adopt(now, m.ready, m.readyTo)
+// onDocComplete continues what was waiting for a document.
+func (m *Machine) onDocComplete(now float64, d Digest, from int) {
+	if m.pending.Number > 0 && now < m.pendingUntil && m.fetchMissing(now, from, m.pending) {
+		m.adopt(now, m.pending, m.pendingUntil)
 	}
 	if m.duty > 0 {
-		m.arrived(now, d)
-	} else if m.checked != d && d != m.have.A && d != m.have.B {
-		m.look(now, from, d)
+		m.onDocArrived(now, d)
+	} else if m.checked != d && d != m.current.A && d != m.current.B {
+		m.checkProposal(now, from, d)
 	}
 }
 
-// publish has a document put in force: here, if this scheduler publishes, else by whoever does.
+// publish offers a document to the publisher, which may be this scheduler.
 func (m *Machine) publish(now float64, doc *Doc) {
-	d, err := m.keep(doc)
+	d, err := m.storeDoc(doc)
 	if err != nil {
-		m.do(Action{Kind: Refused, Who: m.c.Self, Reason: err.Error()})
+		m.emit(Action{Kind: Refused, Scheduler: m.config.Self, Reason: err.Error()})
 		return
 	}
-	if d == m.have.A && m.have.B == 0 {
-		m.do(Action{Kind: Refused, Digest: d, Who: m.c.Self, Reason: "it is in force"})
+	if d == m.current.A && m.current.B == 0 {
+		m.emit(Action{Kind: Refused, Digest: d, Scheduler: m.config.Self, Reason: "the document is already in force"})
 		return
 	}
-	m.offer, m.offerTo = d, now+patience*m.c.Agree
-	m.askAt = now
+	m.offered, m.offerUntil = d, now+proposalTimeoutLeases*m.config.Agree
+	m.nextRequestAt = now
 }
 
-// offering tells the publisher of the document until it is in force, or put aside.
-func (m *Machine) offering(now float64, ev *Event) {
+// sendOffer offers the document to the publisher until it is in force or dropped.
+func (m *Machine) sendOffer(now float64, ev *Event) {
 	switch {
-	case now >= m.offerTo:
-		m.do(Action{Kind: Refused, Digest: m.offer, Who: m.c.Self, Reason: "nobody published it in time"})
-		m.offer = 0
+	case now >= m.offerUntil:
+		m.emit(Action{Kind: Refused, Digest: m.offered, Scheduler: m.config.Self, Reason: "no publisher put it into force before the deadline"})
+		m.offered = 0
 	case m.duty > 0:
-		m.offered(now, m.c.Self, m.offer)
+		m.onOffer(now, m.config.Self, m.offered)
 	case ev.Holder >= 0:
-		m.send(ev.Holder, Msg{Kind: Offer, Doc: m.offer})
+		m.send(ev.Holder, Msg{Kind: Offer, Doc: m.offered})
 	}
 }
 
-// outcome takes what became of the document that this scheduler offered.
-func (m *Machine) outcome(from int, x *Msg) {
-	if x.Doc == m.offer && m.offer != 0 {
-		m.do(Action{Kind: Refused, Digest: x.Doc, Who: x.Who, Reason: x.Reason})
-		m.offer = 0
+// onOutcome handles the refusal of the document that this scheduler offered.
+func (m *Machine) onOutcome(from int, msg *Msg) {
+	if msg.Doc == m.offered && m.offered != 0 {
+		m.emit(Action{Kind: Refused, Digest: msg.Doc, Scheduler: msg.Scheduler, Reason: msg.Reason})
+		m.offered = 0
 	}
 }
--- a/internal/fleet/rules/rules_test.go
+++ b/internal/fleet/rules/rules_test.go
@@ -7,50 +7,50 @@
 	"github.com/stretchr/testify/require"
 )
 
-// pair is two machines that hear one another at once, of which 0 publishes.
-type pair struct {
-	t    *testing.T
-	now  float64
-	m    [2]*Machine
-	duty uint64
-	deaf bool // 1 hears nothing
-	last [2]Action
-	said []Action
-	odd  error // what 1 has against every document
-	pass func(*Msg) *Msg
+// twoMachines runs two machines with immediate message delivery. Machine 0 is the publisher.
+type twoMachines struct {
+	t          *testing.T
+	now        float64
+	machines   [2]*Machine
+	duty       uint64
+	isolated   bool // machine 1 receives no messages
+	applied    [2]Action
+	outcomes   []Action
+	checkError error // machine 1 refuses every document with this error
+	filter     func(*Msg) *Msg
 }
 
 func attempts(n int) *Doc { return &Doc{Classes: map[string]Class{"view": {Attempts: &n}}} }
 
-func start(t *testing.T) *pair {
-	p := &pair{t: t, duty: 7}
-	for i := range p.m {
+func newTwoMachines(t *testing.T) *twoMachines {
+	p := &twoMachines{t: t, duty: 7}
+	for i := range p.machines {
 		c := Default()
 		c.Self, c.Fleet, c.Life, c.Classes, c.First, c.Agree = i, 2, uint32(i), []string{"view"}, attempts(3), 1000
 		if i == 1 {
-			c.Check = func(*Doc) error { return p.odd }
+			c.Check = func(*Doc) error { return p.checkError }
 		}
 		var err error
-		p.m[i], err = New(c, 0)
+		p.machines[i], err = New(c, 0)
 		require.NoError(t, err)
 	}
 	return p
 }
 
-func (p *pair) step(i int, ev Event) {
-	ev.HolderNo = p.duty
+func (p *twoMachines) step(i int, ev Event) {
+	ev.HolderNumber = p.duty
 	if i == 0 {
 		ev.Duty = p.duty
 	}
-	for _, a := range p.m[i].Step(p.now, &ev, nil) {
+	for _, a := range p.machines[i].Step(p.now, &ev, nil) {
 		switch a.Kind {
 		case Send:
-			if p.deaf && a.To == 1 {
+			if p.isolated && a.To == 1 {
 				continue
 			}
 			msg := a.Msg
-			if p.pass != nil {
-				if msg = p.pass(msg); msg == nil {
+			if p.filter != nil {
+				if msg = p.filter(msg); msg == nil {
 					continue
 				}
 			}
@@ -58,34 +58,34 @@
 			require.LessOrEqual(p.t, len(raw), 256)
 			var x Msg
 			require.NoError(p.t, x.Parse(raw, 5))
-			p.step(a.To, Event{Kind: Heard, From: i, Msg: &x})
-		case Rule:
-			p.last[i] = a
+			p.step(a.To, Event{Kind: MessageReceived, From: i, Msg: &x})
+		case Apply:
+			p.applied[i] = a
 		case Adopted, Refused, Alarm:
-			p.said = append(p.said, a)
+			p.outcomes = append(p.outcomes, a)
 		}
 	}
 }
 
-func (p *pair) run(ms float64) {
+func (p *twoMachines) run(ms float64) {
 	for end := p.now + ms; p.now < end; p.now += 10 {
 		p.step(0, Event{Kind: Due})
 		p.step(1, Event{Kind: Due})
 	}
 }
 
-func (p *pair) attempts(i int) int {
-	_, d, _ := p.m[i].InForce(p.now)
+func (p *twoMachines) attempts(i int) int {
+	_, d, _ := p.machines[i].InForce(p.now)
 	return *d.Classes["view"].Attempts
 }
 
-func TestAVersionGoesOverByTheOneBetween(t *testing.T) {
-	p := start(t)
-	require.Equal(t, 1, p.attempts(0), "strict until somebody knows")
+func TestSwitchThroughIntermediateVersion(t *testing.T) {
+	p := newTwoMachines(t)
+	require.Equal(t, 1, p.attempts(0), "the strict form applies until a version is granted")
 	p.run(1500)
 	require.Equal(t, 3, p.attempts(0))
 	require.Equal(t, 3, p.attempts(1))
-	first, _, _ := p.m[1].InForce(p.now)
+	first, _, _ := p.machines[1].InForce(p.now)
 	p.step(1, Event{Kind: Publish, Doc: attempts(5)})
 	seen := map[int]bool{}
 	for range 300 {
@@ -93,135 +93,137 @@
 		seen[p.attempts(1)] = true
 	}
 	require.Equal(t, map[int]bool{3: true, 5: true}, seen)
-	v, _, strict := p.m[1].InForce(p.now)
+	v, _, strict := p.machines[1].InForce(p.now)
 	require.False(t, strict)
-	require.Equal(t, first.Number+2, v.Number, "a version between, and the new one")
-	require.Equal(t, Adopted, p.said[len(p.said)-1].Kind)
+	require.Equal(t, first.Number+2, v.Number, "an intermediate version and the new one")
+	require.Equal(t, Adopted, p.outcomes[len(p.outcomes)-1].Kind)
 	p.step(0, Event{Kind: Publish, Doc: attempts(5)})
-	require.Equal(t, "it is in force", p.said[len(p.said)-1].Reason)
+	require.Equal(t, "the document is already in force", p.outcomes[len(p.outcomes)-1].Reason)
 }
 
-// One that is cut off goes over to the strict form in time, and the others wait for just that.
-func TestOneThatIsCutOffIsWaitedFor(t *testing.T) {
-	p := start(t)
+// An isolated scheduler switches to the strict form when its permission ends, and the others wait
+// exactly until then.
+func TestWaitsForIsolatedScheduler(t *testing.T) {
+	p := newTwoMachines(t)
 	p.run(2000)
 	p.step(0, Event{Kind: Publish, Doc: attempts(5)})
-	p.run(150) // it has looked at it
-	p.deaf = true
+	p.run(150) // machine 1 has checked the proposal
+	p.isolated = true
 	at := p.now
 	for p.attempts(0) != 5 {
 		p.run(10)
 		require.Less(t, p.now, at+3000)
 	}
-	_, _, strict := p.m[1].InForce(p.now)
-	require.True(t, strict, "by the time that the new one is in force")
+	_, _, strict := p.machines[1].InForce(p.now)
+	require.True(t, strict, "when the new version is in force")
 	require.Equal(t, 1, p.attempts(1))
-	p.deaf = false
+	p.isolated = false
 	p.run(500)
 	require.Equal(t, 5, p.attempts(1))
-	// The same by its clock alone, if it stood still: nothing has been stepped.
+	// The same follows from its clock alone if the process was paused: no event has been processed.
 	p.now += 1000
 	require.Equal(t, 1, p.attempts(1))
 }
 
-func TestWhoRefusesSaysWhy(t *testing.T) {
-	p := start(t)
+func TestRefusalReportsReason(t *testing.T) {
+	p := newTwoMachines(t)
 	p.run(2000)
-	p.odd = errors.New("class.view.attempts is 5, and the settings allow 4")
+	p.checkError = errors.New("class.view.attempts is 5, and the settings allow 4")
 	p.step(0, Event{Kind: Publish, Doc: attempts(5)})
 	p.run(3000)
-	last := p.said[len(p.said)-1]
+	last := p.outcomes[len(p.outcomes)-1]
 	require.Equal(t, Refused, last.Kind)
-	require.Equal(t, 1, last.Who)
-	require.Equal(t, p.odd.Error(), last.Reason)
+	require.Equal(t, 1, last.Scheduler)
+	require.Equal(t, p.checkError.Error(), last.Reason)
 	require.Equal(t, 3, p.attempts(0))
 	p.step(1, Event{Kind: Publish, Doc: attempts(4)})
 	p.run(3000)
-	require.Equal(t, p.odd.Error(), p.said[len(p.said)-1].Reason, "whoever offered it is told")
-	p.odd = nil
+	require.Equal(t, p.checkError.Error(), p.outcomes[len(p.outcomes)-1].Reason, "the proposer is notified")
+	p.checkError = nil
 	p.step(1, Event{Kind: Publish, Doc: attempts(2)})
 	p.run(3000)
-	require.Equal(t, 2, p.attempts(0), "and another one may follow")
+	require.Equal(t, 2, p.attempts(0), "a later proposal is accepted")
 }
 
-// A publisher that knows nothing begins with what the others have, under a higher number; with its own file only
-// where nobody has anything.
+// A publisher without data starts with the version of the others, under a higher number. It uses its
+// own file only if no scheduler has a version.
 func TestAnotherPublisherGoesOn(t *testing.T) {
-	p := start(t)
+	p := newTwoMachines(t)
 	p.run(2000)
 	p.step(0, Event{Kind: Publish, Doc: attempts(2)})
 	p.run(3000)
-	before, _, _ := p.m[1].InForce(p.now)
-	c := p.m[0].c
+	before, _, _ := p.machines[1].InForce(p.now)
+	c := p.machines[0].config
 	c.Life, c.First = 9, attempts(4)
 	var err error
-	p.m[0], err = New(c, p.now)
+	p.machines[0], err = New(c, p.now)
 	require.NoError(t, err)
 	p.duty++
 	for range 30 {
 		p.run(100)
-		require.Equal(t, 2, p.attempts(1), "it is never without")
+		require.Equal(t, 2, p.attempts(1), "the version is never interrupted")
 	}
 	require.Equal(t, 2, p.attempts(0))
-	after, _, _ := p.m[1].InForce(p.now)
+	after, _, _ := p.machines[1].InForce(p.now)
 	require.Greater(t, after.Number, before.Number)
 	require.Equal(t, before.A, after.A)
 }
 
-// A permission that comes late counts from its asking; one for another life, an older version, or with another
-// document under a number that is known is not taken.
-func TestWhatComesLateOrCannotBe(t *testing.T) {
-	p := start(t)
+// A late permission counts from its request. A permission is refused if it is for another run, for an
+// older version, or for another document under a known number.
+func TestLateOrInvalidGrants(t *testing.T) {
+	p := newTwoMachines(t)
 	p.run(2000)
 	var grant *Msg
-	p.pass = func(x *Msg) *Msg {
+	p.filter = func(x *Msg) *Msg {
 		if x.Kind == Grant && grant == nil {
-			keep := *x
-			grant = &keep
+			saved := *x
+			grant = &saved
 			return nil
 		}
 		return x
 	}
 	p.run(300)
 	require.NotNil(t, grant)
-	p.pass = func(*Msg) *Msg { return nil }
+	p.filter = func(*Msg) *Msg { return nil }
 	p.run(900)
-	hear := func(x Msg) { p.step(1, Event{Kind: Heard, From: 0, Msg: &x}) }
-	stale := p.m[1].Counts.Stale
+	receive := func(x Msg) { p.step(1, Event{Kind: MessageReceived, From: 0, Msg: &x}) }
+	stale := p.machines[1].Counts.Stale
 	p.now += 2000
-	hear(*grant)
-	_, _, strict := p.m[1].InForce(p.now)
+	receive(*grant)
+	_, _, strict := p.machines[1].InForce(p.now)
 	require.True(t, strict)
-	require.Equal(t, stale+1, p.m[1].Counts.Stale)
+	require.Equal(t, stale+1, p.machines[1].Counts.Stale)
 	other := *grant
-	other.Life++
-	hear(other)
-	require.Equal(t, stale+2, p.m[1].Counts.Stale)
+	other.RunID++
+	receive(other)
+	require.Equal(t, stale+2, p.machines[1].Counts.Stale)
 	older := *grant
-	older.Seq, older.Version.Number = p.m[1].seq, older.Version.Number-1
-	hear(older)
-	require.Equal(t, stale+3, p.m[1].Counts.Stale)
+	older.Seq, older.Version.Number = p.machines[1].seq, older.Version.Number-1
+	receive(older)
+	require.Equal(t, stale+3, p.machines[1].Counts.Stale)
 	twice := *grant
-	twice.Seq, twice.Version.A = p.m[1].seq, twice.Version.A+2
-	hear(twice)
-	require.Equal(t, 1, p.m[1].Counts.Alarms)
-	hear(Msg{Kind: Piece, Doc: 77, I: 0, N: 1, Data: []byte("x")})
-	require.Equal(t, stale+4, p.m[1].Counts.Stale, "a piece that nobody asked for")
-	p.pass = nil
+	twice.Seq, twice.Version.A = p.machines[1].seq, twice.Version.A+2
+	receive(twice)
+	require.Equal(t, 1, p.machines[1].Counts.Alarms)
+	receive(Msg{Kind: Piece, Doc: 77, Index: 0, NumPieces: 1, Data: []byte("x")})
+	require.Equal(t, stale+4, p.machines[1].Counts.Stale, "a piece that was not requested")
+	p.filter = nil
 	p.run(500)
 	require.Equal(t, 3, p.attempts(1))
 }
 
-// Pieces may be lost, changed, doubled and of two minds about how many there are; tables stay within bounds.
+// Pieces may be lost, corrupted or duplicated, and may disagree about their number. The tables stay
+// within their limits.
 func TestPieces(t *testing.T) {
-	p := start(t)
+	p := newTwoMachines(t)
 	p.run(2000)
 	big := attempts(4)
 	for i := range 300 {
 		big.Drains = append(big.Drains, Drain{Target: digestText(i)})
 	}
 	n := 0
-	p.pass = func(x *Msg) *Msg {
+	p.filter = func(x *Msg) *Msg {
 		if x.Kind != Piece {
 			return x
 		}
@@ -236,7 +238,7 @@
 			}
 		case 2:
 			bad := *x
-			bad.N = x.N + 1
+			bad.NumPieces = x.NumPieces + 1
 			if n < 30 {
 				return &bad
 			}
@@ -246,22 +248,22 @@
 	p.step(0, Event{Kind: Publish, Doc: big})
 	p.run(8000)
 	require.Equal(t, 4, p.attempts(1))
-	require.Empty(t, p.m[1].half)
+	require.Empty(t, p.machines[1].partials)
 	for i := range 40 {
 		p.step(0, Event{Kind: Publish, Doc: attempts(1 + i%50)})
 		p.run(50)
 	}
 	p.run(3000)
-	require.LessOrEqual(t, len(p.m[0].docs), maxDocs+1)
-	require.LessOrEqual(t, len(p.m[1].docs), maxDocs+1)
-	require.Equal(t, len(p.m[0].docs), len(p.m[0].pack))
+	require.LessOrEqual(t, len(p.machines[0].docs), maxStoredDocs+1)
+	require.LessOrEqual(t, len(p.machines[1].docs), maxStoredDocs+1)
+	require.Equal(t, len(p.machines[0].docs), len(p.machines[0].packed))
 	for i := range 10 {
-		p.m[1].fetch(p.now, 0, Digest(1000+i), 0)
+		p.machines[1].fetch(p.now, 0, Digest(1000+i), 0)
 	}
-	require.Len(t, p.m[1].half, maxParts)
+	require.Len(t, p.machines[1].partials, maxPartialDocs)
 }
 
-func TestImpossibleSettings(t *testing.T) {
+func TestInvalidSettings(t *testing.T) {
 	for want, change := range map[string]func(*Config){
 		"scheduler 5 of 5":       func(c *Config) { c.Self = 5 },
 		"agree_within is 100ms":  func(c *Config) { c.Agree = 100 },
@@ -285,11 +287,11 @@
 	alive := func(int) bool { return true }
 	var acts []Action
 	for now := 0.0; now < 10_000; now += 100 {
-		acts = m.Step(now, &Event{Kind: Due, Duty: 9, HolderNo: 9, Alive: alive}, acts[:0])
+		acts = m.Step(now, &Event{Kind: Due, Duty: 9, HolderNumber: 9, Alive: alive}, acts[:0])
 	}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		x := Msg{Kind: Ask, Life: 1, Seq: uint32(i), Duty: 9, Version: m.now, Valid: true}
-		acts = m.Step(10_000, &Event{Kind: Heard, From: i % 300, Msg: &x, Duty: 9, HolderNo: 9, Alive: alive}, acts[:0])
+		x := Msg{Kind: Request, RunID: 1, Seq: uint32(i), Duty: 9, Version: m.granted, Valid: true}
+		acts = m.Step(10_000, &Event{Kind: MessageReceived, From: i % 300, Msg: &x, Duty: 9, HolderNumber: 9, Alive: alive}, acts[:0])
 	}
 }
--- a/internal/fleet/simulation/rules_test.go
+++ b/internal/fleet/simulation/rules_test.go
@@ -69,7 +69,7 @@
 	}
 	require.Positive(t, found(rules.Unsafe{NoExpiry: true}), "one that is cut off goes on by what it had")
 	require.Positive(t, found(rules.Unsafe{NoWait: true}), "the next version is granted while others act on the last one")
-	require.Positive(t, found(rules.Unsafe{NoMeet: true}), "nothing lies between two versions")
+	require.Positive(t, found(rules.Unsafe{NoIntermediate: true}), "nothing lies between two versions")
 }
 
 func TestRulesSameSeedSameTrace(t *testing.T) {
