--- a/internal/fleet/simulation/rules.go
+++ b/internal/fleet/simulation/rules.go
@@ -10,63 +10,63 @@
 	"cottonwell/internal/units"
 )
 
-// Rules say what is published in a run.
+// Rules configures the documents that are published in a run.
 type Rules struct {
-	Agree    float64 // ms
-	Publish  int     // documents, at drawn moments, by drawn schedulers
-	From, To float64 // in this time
-	Unsafe   rules.Unsafe
+	Agree     float64 // ms
+	Documents int     // number of documents, published at random times by random schedulers
+	From, To  float64 // period in which documents are published, ms
+	Unsafe    rules.Unsafe
 }
 
-// RulesResult is what came of it.
+// RulesResult holds the counters and times of the agreed settings in a run.
 type RulesResult struct {
 	Offered, Adopted, Dropped, Alarms int
-	Contradict                        int       // somebody began to act on a version that contradicts one that another acts on
-	Longest                           float64   // ms for which two such were acted on
-	Falling                           int       // a scheduler went back to an older number
-	Twice                             int       // two versions under one number
-	Apart                             int       // schedulers that act on another version than the newest, or a strict form, at the end
-	Took                              []float64 // ms from a document's being offered to its being adopted by all that live
+	Contradictions                    int       // times that a scheduler began to act on a version that contradicts one that another acts on
+	LongestContradiction              float64   // longest time in ms during which two contradicting versions were acted on
+	DecreasingNumbers                 int       // times that a scheduler went back to an older number
+	DuplicateNumbers                  int       // times that two versions had one number
+	Disagreeing                       int       // schedulers that act on another version than the newest, or on a strict form, at the end
+	AdoptionTimes                     []float64 // ms from the offer of a document to its adoption by all live members
 }
 
-// rulesOf is how a process is set up.
-func (w *World) rulesOf(p *proc) *rules.Config {
+// rulesConfig returns the configuration of the agreed settings for a process.
+func (w *World) rulesConfig(p *proc) *rules.Config {
 	c := rules.Default()
-	c.Self, c.Fleet, c.Life, c.Seed = p.n, p.list, w.rng.Uint32(), w.rng.Uint64()
-	c.Agree, c.Drift, c.Classes, c.Unsafe = w.o.Rules.Agree, max(w.o.Drift, 0.001), []string{"view", "buy"}, w.o.Rules.Unsafe
+	c.Self, c.Fleet, c.Life, c.Seed = p.number, p.knownSchedulers, w.rng.Uint32(), w.rng.Uint64()
+	c.Agree, c.Drift, c.Classes, c.Unsafe = w.options.Rules.Agree, max(w.options.Drift, 0.001), []string{"view", "buy"}, w.options.Rules.Unsafe
 	three := 3
 	c.First = &rules.Doc{Classes: map[string]rules.Class{"view": {Attempts: &three}}}
 	return &c
 }
 
-// drawRules has documents published.
-func (w *World) drawRules() {
-	w.offered, w.numbers = map[rules.Digest]float64{}, map[uint64]rules.Version{}
-	for range w.o.Rules.Publish {
-		w.After(w.o.Rules.From+(w.o.Rules.To-w.o.Rules.From)*w.rng.Float64(), func() {
-			doc := w.document()
+// scheduleDocuments schedules the publication of random documents.
+func (w *World) scheduleDocuments() {
+	w.offeredAt, w.versionByNumber = map[rules.Digest]float64{}, map[uint64]rules.Version{}
+	for range w.options.Rules.Documents {
+		w.After(w.options.Rules.From+(w.options.Rules.To-w.options.Rules.From)*w.rng.Float64(), func() {
+			doc := w.drawDoc()
 			_, digest, err := doc.Pack()
 			if err != nil {
-				panic(fmt.Sprintf("simulation: a document that cannot be packed: %v", err))
+				panic(fmt.Sprintf("simulation: cannot pack the document: %v", err))
 			}
 			p := w.procs[w.rng.IntN(len(w.procs))]
-			if p.m == nil {
+			if p.machine == nil {
 				return
 			}
-			w.does(p, p.life, func() {
+			w.runInProcess(p, p.run, func() {
 				w.Result.Rules.Offered++
-				if _, known := w.offered[digest]; !known {
-					w.offered[digest] = w.Now
+				if _, known := w.offeredAt[digest]; !known {
+					w.offeredAt[digest] = w.Now
 				}
-				w.note("%.3f %d publishes %x", w.Now, p.n, digest)
+				w.traceEvent("%.3f %d publishes %x", w.Now, p.number, digest)
 				w.step(p, fleet.Event{Kind: fleet.Publish, Doc: doc})
 			})
 		})
 	}
 }
 
-// document draws one: limits that go up and down, drains set and taken back.
-func (w *World) document() *rules.Doc {
+// drawDoc draws a random document, with limits that rise and fall and drains that are set and removed.
+func (w *World) drawDoc() *rules.Doc {
 	d := &rules.Doc{Classes: map[string]rules.Class{}, Tenants: map[string]rules.Tenant{}}
 	for _, name := range []string{"view", "buy"} {
 		if n := 1 + w.rng.IntN(5); n < 5 {
@@ -89,82 +89,82 @@
 	return d
 }
 
-// governed takes in what a process does about the rules.
-func (w *World) governed(p *proc, a *fleet.Action) {
-	r := &w.Result.Rules
+// onRulesAction checks and records a process's action about the agreed settings.
+func (w *World) onRulesAction(p *proc, a *fleet.Action) {
+	result := &w.Result.Rules
 	switch a.Kind {
 	case fleet.Adopted:
-		w.note("%.3f %d says that all act on %d", w.Now, p.n, a.Version.Number)
-		r.Adopted++
-		if at, known := w.offered[a.Version.A]; known && a.Version.B == 0 {
-			r.Took = append(r.Took, w.Now-at)
-			delete(w.offered, a.Version.A)
+		w.traceEvent("%.3f %d says that all act on %d", w.Now, p.number, a.Version.Number)
+		result.Adopted++
+		if at, known := w.offeredAt[a.Version.A]; known && a.Version.B == 0 {
+			result.AdoptionTimes = append(result.AdoptionTimes, w.Now-at)
+			delete(w.offeredAt, a.Version.A)
 		}
 		return
 	case fleet.Dropped:
-		w.note("%.3f %d drops %x: %s", w.Now, p.n, a.Digest, a.Note)
-		r.Dropped++
+		w.traceEvent("%.3f %d drops %x: %s", w.Now, p.number, a.Digest, a.Note)
+		result.Dropped++
 		return
 	case fleet.Alarm:
-		w.note("%.3f %d alarm: %s", w.Now, p.n, a.Note)
-		r.Alarms++
+		w.traceEvent("%.3f %d alarm: %s", w.Now, p.number, a.Note)
+		result.Alarms++
 		return
 	}
-	if a.Version != p.ruled || a.Strict != p.strict {
-		w.note("%.3f %d acts on %d %v", w.Now, p.n, a.Version.Number, a.Strict)
+	if a.Version != p.version || a.Strict != p.strict {
+		w.traceEvent("%.3f %d acts on %d %v", w.Now, p.number, a.Version.Number, a.Strict)
 	}
-	if a.Version.Number < p.ruled.Number {
-		r.Falling++
+	if a.Version.Number < p.version.Number {
+		result.DecreasingNumbers++
 	}
-	began := !a.Strict && (a.Version != p.ruled || p.strict)
-	p.ruled, p.strict = a.Version, a.Strict
-	if !began {
+	started := !a.Strict && (a.Version != p.version || p.strict)
+	p.version, p.strict = a.Version, a.Strict
+	if !started {
 		return
 	}
-	if had, known := w.numbers[a.Version.Number]; known && had != a.Version {
-		r.Twice++
+	if other, known := w.versionByNumber[a.Version.Number]; known && other != a.Version {
+		result.DuplicateNumbers++
 	}
-	w.numbers[a.Version.Number] = a.Version
+	w.versionByNumber[a.Version.Number] = a.Version
 	for _, q := range w.procs {
-		if q == p || q.m == nil {
+		if q == p || q.machine == nil {
 			continue
 		}
 		at := w.Now
-		for bad := false; ; at += 50 { // for how long, if nothing is heard any more
-			v, doc, strict := q.m.InForce(q.clock(at))
-			if strict || at > w.Now+5*w.o.Rules.Agree || between(v, a.Version) || len(rules.Contradicts(doc, a.Doc)) == 0 {
-				if bad {
-					r.Longest = max(r.Longest, at-w.Now)
+		for contradicting := false; ; at += 50 { // measures the duration for the case that no further messages arrive
+			v, doc, strict := q.machine.InForce(q.clock(at))
+			if strict || at > w.Now+5*w.options.Rules.Agree || related(v, a.Version) || len(rules.Contradicts(doc, a.Doc)) == 0 {
+				if contradicting {
+					result.LongestContradiction = max(result.LongestContradiction, at-w.Now)
 				}
 				break
 			}
-			if !bad {
-				bad = true
-				r.Contradict++
-				w.note("%.3f %d acts on %d, and %d on %d", w.Now, p.n, a.Version.Number, q.n, v.Number)
+			if !contradicting {
+				contradicting = true
+				result.Contradictions++
+				w.traceEvent("%.3f %d acts on %d, and %d on %d", w.Now, p.number, a.Version.Number, q.number, v.Number)
 			}
 		}
 	}
 }
 
-// between says whether one of two versions is the other one made stricter, or leads to it.
-func between(a, b rules.Version) bool {
+// related reports whether one of two versions is the intermediate of the other, or leads to it.
+func related(a, b rules.Version) bool {
 	docs := []rules.Digest{b.A, b.B}
 	return slices.Contains(docs, a.A) || a.B != 0 && slices.Contains(docs, a.B)
 }
 
-// agreed looks at the end whether all that live act on the newest version.
-func (w *World) agreed() {
+// checkAgreement counts the live processes that do not act on the newest version at the end.
+func (w *World) checkAgreement() {
 	newest := uint64(0)
-	if len(w.numbers) > 0 {
-		newest = slices.Max(slices.Collect(maps.Keys(w.numbers)))
+	if len(w.versionByNumber) > 0 {
+		newest = slices.Max(slices.Collect(maps.Keys(w.versionByNumber)))
 	}
 	for _, p := range w.procs {
-		if p.m == nil {
+		if p.machine == nil {
 			continue
 		}
-		if v, _, strict := p.m.InForce(p.clock(w.Now)); strict || v.Number != newest || v.B != 0 {
-			w.Result.Rules.Apart++
+		if v, _, strict := p.machine.InForce(p.clock(w.Now)); strict || v.Number != newest || v.B != 0 {
+			w.Result.Rules.Disagreeing++
 		}
 	}
 }
