--- a/internal/fleet/lease/msg.go
+++ b/internal/fleet/lease/msg.go
@@ -44,31 +44,31 @@
 
 // Append encodes a message as a datagram and appends it to raw. digest is the hash of the
 // configuration that must be equal on both ends.
-func (x *Msg) Append(raw []byte, digest uint32) []byte {
-	raw = append(frame.Begin(raw, Version, digest), byte(x.Kind))
-	raw = binary.LittleEndian.AppendUint32(raw, x.Duty)
-	raw = binary.LittleEndian.AppendUint32(raw, x.RunID)
-	raw = binary.LittleEndian.AppendUint32(raw, x.Seq)
-	raw = binary.LittleEndian.AppendUint64(raw, x.Number)
-	raw = binary.LittleEndian.AppendUint16(raw, uint16(x.Holder))
-	raw = binary.LittleEndian.AppendUint16(raw, uint16(min(65535, max(0, x.Remaining/2+0.5))))
-	return frame.Seal(append(raw, x.Note[:min(len(x.Note), MaxNoteBytes)]...))
+func (msg *Msg) Append(raw []byte, digest uint32) []byte {
+	raw = append(frame.Begin(raw, Version, digest), byte(msg.Kind))
+	raw = binary.LittleEndian.AppendUint32(raw, msg.Duty)
+	raw = binary.LittleEndian.AppendUint32(raw, msg.RunID)
+	raw = binary.LittleEndian.AppendUint32(raw, msg.Seq)
+	raw = binary.LittleEndian.AppendUint64(raw, msg.Number)
+	raw = binary.LittleEndian.AppendUint16(raw, uint16(msg.Holder))
+	raw = binary.LittleEndian.AppendUint16(raw, uint16(min(65535, max(0, msg.Remaining/2+0.5))))
+	return frame.Seal(append(raw, msg.Note[:min(len(msg.Note), MaxNoteBytes)]...))
 }
 
 // Parse decodes a datagram.
-func (x *Msg) Parse(raw []byte, digest uint32) error {
-	b, err := frame.Open(raw, Version, digest)
+func (msg *Msg) Parse(raw []byte, digest uint32) error {
+	body, err := frame.Open(raw, Version, digest)
 	if err != nil {
 		return err
 	}
-	if len(b) < fixedSize || len(b) > fixedSize+MaxNoteBytes || b[0] < byte(Query) || b[0] > byte(lastKind) {
+	if len(body) < fixedSize || len(body) > fixedSize+MaxNoteBytes || body[0] < byte(Query) || body[0] > byte(lastKind) {
 		return frame.ErrInvalid
 	}
-	*x = Msg{Kind: MsgKind(b[0]), Duty: binary.LittleEndian.Uint32(b[1:]), RunID: binary.LittleEndian.Uint32(b[5:]),
-		Seq: binary.LittleEndian.Uint32(b[9:]), Number: binary.LittleEndian.Uint64(b[13:]), Holder: int(binary.LittleEndian.Uint16(b[21:])),
-		Remaining: 2 * float64(binary.LittleEndian.Uint16(b[23:]))}
-	if len(b) > fixedSize {
-		x.Note = string(b[fixedSize:])
+	*msg = Msg{Kind: MsgKind(body[0]), Duty: binary.LittleEndian.Uint32(body[1:]), RunID: binary.LittleEndian.Uint32(body[5:]),
+		Seq: binary.LittleEndian.Uint32(body[9:]), Number: binary.LittleEndian.Uint64(body[13:]), Holder: int(binary.LittleEndian.Uint16(body[21:])),
+		Remaining: 2 * float64(binary.LittleEndian.Uint16(body[23:]))}
+	if len(body) > fixedSize {
+		msg.Note = string(body[fixedSize:])
 	}
 	return nil
 }
--- a/internal/fleet/rules/publisher.go
+++ b/internal/fleet/rules/publisher.go
@@ -20,7 +20,7 @@
 
 // peer is what the publisher records about one scheduler.
 type peer struct {
-	requestAt      float64
+	lastRequestAt  float64 // time of its last request; -Inf: none
 	current        Version // version that it last reported to act on
 	valid          bool
 	otherGrantedAt float64 // when it was last granted a version other than the one that is granted now
@@ -33,7 +33,7 @@
 	if duty > 0 {
 		p.peers = make([]peer, fleet)
 		for i := range p.peers {
-			p.peers[i].requestAt, p.peers[i].otherGrantedAt = math.Inf(-1), math.Inf(-1)
+			p.peers[i].lastRequestAt, p.peers[i].otherGrantedAt = math.Inf(-1), math.Inf(-1)
 		}
 	}
 }
@@ -41,7 +41,7 @@
 // onRequest answers a scheduler's request for the version in force, and records its report.
 func (m *Machine) onRequest(now float64, who int, msg *Msg) {
 	peer := &m.peers[who]
-	peer.requestAt, peer.current, peer.valid = now, msg.Version, msg.Valid
+	peer.lastRequestAt, peer.current, peer.valid = now, msg.Version, msg.Valid
 	if msg.Doc != 0 {
 		peer.checked, peer.checkError = msg.Doc, msg.Reason
 	}
@@ -80,13 +80,13 @@
 	}
 	all := true
 	for i := range m.peers {
-		a := &m.peers[i]
-		if a.current == m.granted {
+		peer := &m.peers[i]
+		if peer.current == m.granted {
 			continue
 		}
-		// A peer that does not act on the granted version is dead, isolated, or about to. It may act
-		// on the previous version until that permission ends.
-		if now < a.otherGrantedAt+m.config.Agree && !m.config.Unsafe.NoWait {
+		// A peer that does not act on the granted version is dead, isolated, or has not switched
+		// yet. It may act on the previous version until that permission ends.
+		if now < peer.otherGrantedAt+m.config.Agree && !m.config.Unsafe.NoWait {
 			return
 		}
 		all = all && !(ev.Alive == nil || ev.Alive(i))
@@ -160,8 +160,8 @@
 	}
 	for i := range m.peers {
 		// It may act on the previously granted version until that permission ends.
-		if a := &m.peers[i]; a.requestAt > math.Inf(-1) {
-			a.otherGrantedAt = max(a.otherGrantedAt, a.requestAt)
+		if peer := &m.peers[i]; peer.lastRequestAt > math.Inf(-1) {
+			peer.otherGrantedAt = max(peer.otherGrantedAt, peer.lastRequestAt)
 		}
 	}
 	m.nextRequestAt = min(m.nextRequestAt, now) // this scheduler requests it too
@@ -170,15 +170,15 @@
 // decideProposal switches to the proposal once all live members have accepted it, or drops it.
 func (m *Machine) decideProposal(now float64, ev *Event) {
 	for i := range m.peers {
-		a := &m.peers[i]
-		if a.checked == m.proposal && a.checkError != "" {
-			m.dropProposal(i, a.checkError)
+		peer := &m.peers[i]
+		if peer.checked == m.proposal && peer.checkError != "" {
+			m.dropProposal(i, peer.checkError)
 			return
 		}
 	}
 	for i := range m.peers {
-		a := &m.peers[i]
-		if a.checked == m.proposal || ev.Alive != nil && !ev.Alive(i) {
+		peer := &m.peers[i]
+		if peer.checked == m.proposal || ev.Alive != nil && !ev.Alive(i) {
 			continue
 		}
 		if now >= m.proposedAt+proposalTimeoutLeases*m.config.Agree {
--- a/internal/fleet/rules/rules.go
+++ b/internal/fleet/rules/rules.go
@@ -146,10 +146,10 @@
 
 // partial is a document of which only some pieces were received.
 type partial struct {
-	digest    Digest
-	pieces    [][]byte
-	from      int
-	requestAt float64
+	digest        Digest
+	pieces        [][]byte
+	from          int
+	nextRequestAt float64
 }
 
 // Counts holds event counters.
@@ -275,7 +275,7 @@
 		at = min(at, m.until)
 	}
 	for _, p := range m.partials {
-		at = min(at, p.requestAt)
+		at = min(at, p.nextRequestAt)
 	}
 	return max(at, now)
 }
@@ -458,7 +458,7 @@
 	if len(m.partials) >= maxPartialDocs {
 		m.partials = m.partials[1:] // drop the oldest; it is requested again if still needed
 	}
-	p := &partial{digest: d, pieces: make([][]byte, n), from: from, requestAt: now}
+	p := &partial{digest: d, pieces: make([][]byte, n), from: from, nextRequestAt: now}
 	m.partials = append(m.partials, p)
 	return p
 }
@@ -467,7 +467,7 @@
 // random scheduler, which may have it by now.
 func (m *Machine) requestPieces(now float64) {
 	for _, p := range m.partials {
-		if now < p.requestAt {
+		if now < p.nextRequestAt {
 			continue
 		}
 		msg := Msg{Kind: PieceRequest, Doc: p.digest, Missing: math.MaxUint64}
@@ -483,7 +483,7 @@
 		if m.config.Fleet > 2 {
 			m.send(m.rng.IntN(m.config.Fleet), msg)
 		}
-		p.requestAt = now + requestIntervalMS*(1+m.rng.Float64())
+		p.nextRequestAt = now + requestIntervalMS*(1+m.rng.Float64())
 	}
 }
 
@@ -513,7 +513,7 @@
 	}
 	if p.pieces[msg.Index] == nil {
 		p.pieces[msg.Index] = msg.Data
-		p.requestAt = now + requestIntervalMS // the other pieces are in flight
+		p.nextRequestAt = now + requestIntervalMS // the other pieces are in flight
 	}
 	if slices.ContainsFunc(p.pieces, func(b []byte) bool { return b == nil }) {
 		return
@@ -521,7 +521,7 @@
 	packed := slices.Concat(p.pieces...)
 	if digestOf(packed) != p.digest {
 		clear(p.pieces)
-		p.requestAt = now
+		p.nextRequestAt = now
 		return
 	}
 	m.partials = slices.Delete(m.partials, i, i+1)
