--- a/internal/gearman/admin.go
+++ b/internal/gearman/admin.go
@@ -7,18 +7,18 @@
 	"strings"
 )
 
-// admin answers an administrative text line.
-func (s *Server) admin(line string) string {
+// adminResponse returns the response to a line of the administrative text protocol.
+func (s *Server) adminResponse(line string) string {
 	command, _, _ := strings.Cut(line, " ")
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var out strings.Builder
+	var response strings.Builder
 	switch command {
 	case "version":
 		return "OK " + version + "\n"
-	case "status": // function, jobs in all, running, workers that can do it
+	case "status": // function, all jobs, running jobs, workers that can run it
 		for _, f := range s.cfg.Functions {
-			total, running, able := 0, 0, 0
+			total, running, capable := 0, 0, 0
 			for _, j := range s.jobs {
 				if j.function == f.Name {
 					total++
@@ -28,20 +28,20 @@
 				}
 			}
 			for _, w := range s.workers {
-				if w.can[f.Name] {
-					able++
+				if w.functions[f.Name] {
+					capable++
 				}
 			}
-			fmt.Fprintf(&out, "%s\t%d\t%d\t%d\n", f.Name, total, running, able)
+			fmt.Fprintf(&response, "%s\t%d\t%d\t%d\n", f.Name, total, running, capable)
 		}
-	case "workers": // descriptor, address, name, and what it can do
+	case "workers": // file descriptor (always "-"), address, client ID, functions
 		for _, id := range slices.Sorted(maps.Keys(s.workers)) {
 			w := s.workers[id]
 			host, _, _ := strings.Cut(w.conn.RemoteAddr().String(), ":")
-			fmt.Fprintf(&out, "- %s %s : %s\n", host, id, strings.Join(slices.Sorted(maps.Keys(w.can)), " "))
+			fmt.Fprintf(&response, "- %s %s : %s\n", host, id, strings.Join(slices.Sorted(maps.Keys(w.functions)), " "))
 		}
 	default:
 		return "ERR unknown_command Unknown+server+command\n"
 	}
-	return out.String() + ".\n"
+	return response.String() + ".\n"
 }
--- a/internal/gearman/clients.go
+++ b/internal/gearman/clients.go
@@ -8,44 +8,47 @@
 	"cottonwell/internal/core"
 )
 
-// job is a flow that came from Gearman clients. It is the flow's listener.
+// job is a flow that Gearman clients submitted. It is the flow's listener.
 type job struct {
-	s                *Server
-	handle, id       string // for Gearman; and for the core and HTTP targets
+	server           *Server
+	handle, id       string // Gearman uses the handle; the core and HTTP targets use the id
 	function, unique string
-	waiting          []*conn // clients, each to get one final packet
-	background       bool    // some client left it here and does not wait
+	waitingClients   []*conn // each gets one final packet
+	background       bool    // some client submitted it as a background job and does not wait for it
 	started          bool
-	done             float64 // share
-	over             bool
+	fraction         float64 // progress, 0 to 1
+	finished         bool
 	ticket           core.Ticket
-	submitted        chan struct{} // closed once ticket is there
+	submitted        chan struct{} // closed once ticket is set
 }
 
+// Priorities of jobs; a higher one is assigned first.
 const (
-	low    = -1
-	normal = 0
-	high   = 1
+	lowPriority    = -1
+	normalPriority = 0
+	highPriority   = 1
 )
 
+// submit handles a SUBMIT_JOB packet of any kind. A job with the function and unique of one
+// in flight joins that job; any other starts a flow at the core.
 func (s *Server) submit(c *conn, p Packet) error {
 	name, unique, workload := p.Args[0], p.Args[1], p.Args[2]
-	f := s.function(name)
+	function := s.function(name)
 	switch {
-	case f == nil:
-		c.respond(Error, "unknown_function", "no class is set for "+strconv.Quote(clip(name)))
+	case function == nil:
+		c.respond(Error, "unknown_function", "no class is set for "+strconv.Quote(truncate(name)))
 		return nil
-	case len(name) > maxFunctionOrUnique || len(unique) > maxFunctionOrUnique:
+	case len(name) > maxNameLen || len(unique) > maxNameLen:
 		return protocolError("too_large function or unique is too long")
-	case f.Keyed && (unique == "" || unique == "-"):
+	case function.Keyed && (unique == "" || unique == "-"):
 		c.respond(Error, "unique_required", "jobs of this function need a unique: it is the key by which repeats are dropped")
 		return nil
 	}
-	if unique == "-" { // the published meaning: the workload is the unique
+	if unique == "-" { // as the published protocol defines it: the workload is the unique
 		unique = workload
 	}
 	background := p.Type == SubmitJobBG || p.Type == SubmitJobHighBG || p.Type == SubmitJobLowBG
-	priority := map[Type]int{SubmitJobHigh: high, SubmitJobHighBG: high, SubmitJobLow: low, SubmitJobLowBG: low}[p.Type]
+	priority := map[Type]int{SubmitJobHigh: highPriority, SubmitJobHighBG: highPriority, SubmitJobLow: lowPriority, SubmitJobLowBG: lowPriority}[p.Type]
 
 	s.mu.Lock()
 	if s.closing {
@@ -53,27 +56,28 @@
 		c.respond(Error, "shutting_down", "this scheduler stops; submit to another")
 		return nil
 	}
-	join := name + "\x00" + unique
-	j := s.joined[join]
-	fresh := j == nil || unique == ""
-	if fresh {
-		s.last++
-		j = &job{s: s, function: name, unique: unique, handle: fmt.Sprintf("H:%s:%d", s.name, s.last),
-			id: fmt.Sprintf("gm-%s-%d", s.name, s.last), submitted: make(chan struct{})}
+	uniqueKey := name + "\x00" + unique
+	j := s.jobsByUnique[uniqueKey]
+	isNew := j == nil || unique == ""
+	if isNew {
+		s.lastID++
+		j = &job{server: s, function: name, unique: unique, handle: fmt.Sprintf("H:%s:%d", s.name, s.lastID),
+			id: fmt.Sprintf("gm-%s-%d", s.name, s.lastID), submitted: make(chan struct{})}
 		s.jobs[j.handle] = j
 		if unique != "" {
-			s.joined[join] = j
+			s.jobsByUnique[uniqueKey] = j
 		}
 	}
-	// The client reads its handle before anything else of the job: the outbox keeps the order.
+	// The outbox keeps packets in order, so the client reads its handle before any other packet
+	// of the job.
 	c.respond(JobCreated, j.handle)
 	if background {
 		j.background = true
 	} else {
-		j.waiting = append(j.waiting, c)
+		j.waitingClients = append(j.waitingClients, c)
 	}
 	s.mu.Unlock()
-	if !fresh {
+	if !isNew {
 		return nil
 	}
 	body, err := s.pool.FromBytes([]byte(workload))
@@ -81,12 +85,12 @@
 		s.finish(j, core.Answer{Kind: core.Failed})
 		return nil
 	}
-	r := &core.Request{ID: j.id, Class: f.Class, Tenant: f.Tenant, Subject: unique, Patience: f.Patience, Slots: f.Slots, First: true, From: j,
-		Job: core.Job{Method: "POST", Path: f.Path, Type: "application/octet-stream", Body: body, Priority: priority, Function: name, Unique: unique}}
-	if f.Keyed {
-		r.Job.Key = unique
+	request := &core.Request{ID: j.id, Class: function.Class, Tenant: function.Tenant, Subject: unique, Patience: function.Patience, Slots: function.Slots, First: true, From: j,
+		Job: core.Job{Method: "POST", Path: function.Path, Type: "application/octet-stream", Body: body, Priority: priority, Function: name, Unique: unique}}
+	if function.Keyed {
+		request.Job.Key = unique
 	}
-	ticket := s.core.TakeIn(r)
+	ticket := s.core.TakeIn(request)
 	s.mu.Lock()
 	j.ticket = ticket
 	close(j.submitted)
@@ -94,75 +98,77 @@
 	return nil
 }
 
-func clip(s string) string { return s[:min(len(s), 64)] }
+// truncate limits text from the other side to 64 bytes, for error texts.
+func truncate(s string) string { return s[:min(len(s), 64)] }
 
 // Answer implements core.Listener.
-func (j *job) Answer(a core.Answer) { j.s.finish(j, a) }
+func (j *job) Answer(answer core.Answer) { j.server.finish(j, answer) }
 
-// finish gives every waiting client its one final packet.
-func (s *Server) finish(j *job, a core.Answer) {
+// finish removes a job and sends each waiting client its one final packet.
+func (s *Server) finish(j *job, answer core.Answer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if j.over {
+	if j.finished {
 		return
 	}
-	j.over = true
+	j.finished = true
 	delete(s.jobs, j.handle)
-	if s.joined[j.function+"\x00"+j.unique] == j {
-		delete(s.joined, j.function+"\x00"+j.unique)
+	if s.jobsByUnique[j.function+"\x00"+j.unique] == j {
+		delete(s.jobsByUnique, j.function+"\x00"+j.unique)
 	}
-	for _, c := range j.waiting {
-		switch a.Kind {
+	for _, c := range j.waitingClients {
+		switch answer.Kind {
 		case core.Served:
-			c.respond(WorkComplete, j.handle, a.Body)
+			c.respond(WorkComplete, j.handle, answer.Body)
 		case core.Refused:
-			j.explain(c, "refused; retry-after="+strconv.FormatFloat(max(1, a.RetryAfter)/1000, 'f', -1, 64))
+			j.sendReason(c, "refused; retry-after="+strconv.FormatFloat(max(1, answer.RetryAfter)/1000, 'f', -1, 64))
 			c.respond(WorkFail, j.handle)
 		default:
-			if a.TimedOut {
-				j.explain(c, "failed; out of time")
+			if answer.TimedOut {
+				j.sendReason(c, "failed; out of time")
 			}
 			c.respond(WorkFail, j.handle)
 		}
 	}
-	j.waiting = nil
+	j.waitingClients = nil
 }
 
-// explain says why a job fails, in the packet that the client can hear it by.
-func (j *job) explain(c *conn, why string) {
+// sendReason sends the reason why a job failed: as WORK_EXCEPTION if the client asked for
+// exceptions, and as WORK_WARNING otherwise.
+func (j *job) sendReason(c *conn, reason string) {
 	if c.exceptions {
-		c.respond(WorkException, j.handle, why)
+		c.respond(WorkException, j.handle, reason)
 	} else {
-		c.respond(WorkWarning, j.handle, why)
+		c.respond(WorkWarning, j.handle, reason)
 	}
 }
 
 // Progress implements core.Listener.
-func (j *job) Progress(p core.Progress) {
-	j.s.mu.Lock()
-	defer j.s.mu.Unlock()
+func (j *job) Progress(progress core.Progress) {
+	j.server.mu.Lock()
+	defer j.server.mu.Unlock()
 	j.started = true
-	if p.Fraction > 0 {
-		j.done = p.Fraction
+	if progress.Fraction > 0 {
+		j.fraction = progress.Fraction
 	}
-	for _, c := range j.waiting {
+	for _, c := range j.waitingClients {
 		switch {
-		case p.Data != "" && p.Exception:
+		case progress.Data != "" && progress.Exception:
 			if c.exceptions {
-				c.respond(WorkException, j.handle, p.Data)
+				c.respond(WorkException, j.handle, progress.Data)
 			}
-		case p.Data != "" && p.Warning:
-			c.respond(WorkWarning, j.handle, p.Data)
-		case p.Data != "":
-			c.respond(WorkData, j.handle, p.Data)
-		case !p.Started:
-			c.respond(WorkStatus, j.handle, strconv.Itoa(int(p.Fraction*1000)), "1000")
+		case progress.Data != "" && progress.Warning:
+			c.respond(WorkWarning, j.handle, progress.Data)
+		case progress.Data != "":
+			c.respond(WorkData, j.handle, progress.Data)
+		case !progress.Started:
+			c.respond(WorkStatus, j.handle, strconv.Itoa(int(progress.Fraction*1000)), "1000")
 		}
 	}
 }
 
-// status is the content of STATUS_RES.
-func (s *Server) status(handle string) []string {
+// statusArgs returns the arguments of a STATUS_RES packet.
+func (s *Server) statusArgs(handle string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	j := s.jobs[handle]
@@ -173,28 +179,28 @@
 	if j.started {
 		running = "1"
 	}
-	return []string{handle, "1", running, strconv.Itoa(int(j.done * 1000)), "1000"}
+	return []string{handle, "1", running, strconv.Itoa(int(j.fraction * 1000)), "1000"}
 }
 
-// clientGone takes a closed connection out of its jobs. A job for which nobody waits any
-// more, and which was not left in the background, is given up.
-func (s *Server) clientGone(c *conn) {
-	var left []*job
+// clientDisconnected removes a closed connection from its jobs. It cancels a job that has no
+// waiting client left and is not a background job.
+func (s *Server) clientDisconnected(c *conn) {
+	var abandoned []*job
 	s.mu.Lock()
 	for _, j := range s.jobs {
-		if !slices.Contains(j.waiting, c) {
+		if !slices.Contains(j.waitingClients, c) {
 			continue
 		}
-		j.waiting = slices.DeleteFunc(j.waiting, func(x *conn) bool { return x == c })
-		if len(j.waiting) == 0 && !j.background && !j.over {
-			j.over = true
+		j.waitingClients = slices.DeleteFunc(j.waitingClients, func(x *conn) bool { return x == c })
+		if len(j.waitingClients) == 0 && !j.background && !j.finished {
+			j.finished = true
 			delete(s.jobs, j.handle)
-			delete(s.joined, j.function+"\x00"+j.unique)
-			left = append(left, j)
+			delete(s.jobsByUnique, j.function+"\x00"+j.unique)
+			abandoned = append(abandoned, j)
 		}
 	}
 	s.mu.Unlock()
-	for _, j := range left {
+	for _, j := range abandoned {
 		<-j.submitted
 		j.ticket.Left()
 	}
--- a/internal/gearman/server.go
+++ b/internal/gearman/server.go
@@ -16,18 +16,18 @@
 	"cottonwell/internal/net/httpio"
 )
 
-// Function says what jobs of a Gearman function are to the scheduler.
+// Function maps a Gearman function to a class of the scheduler and sets its jobs' properties.
 type Function struct {
 	Name     string  `toml:"name"`
 	Class    string  `toml:"class"`
-	Patience float64 `toml:"patience_ms"` // the deadline: how long a job may take in all
+	Patience float64 `toml:"patience_ms"` // the client's deadline for the whole job
 	Slots    float64 `toml:"slots"`
 	Tenant   string  `toml:"tenant"`
-	Path     string  `toml:"path"` // at HTTP targets; by default the class
+	Path     string  `toml:"path"` // at HTTP targets; "/" and the class by default
 	Keyed    bool    `toml:"-"`    // the class's key is the job's unique
 }
 
-// Worker says where a worker stands that names itself so.
+// Worker is the placement of the worker that connects with this client ID.
 type Worker struct {
 	ID   string `toml:"id"`
 	Zone string `toml:"zone"`
@@ -35,7 +35,7 @@
 	Kind string `toml:"kind"`
 }
 
-// Config is the Gearman part of the operator's file.
+// Config is the Gearman section of the operator's file.
 type Config struct {
 	Listen      string     `toml:"listen"`
 	Connections int        `toml:"connections"`
@@ -43,10 +43,10 @@
 	Workers     []Worker   `toml:"worker"`
 }
 
-// Source is the name under which the core knows this front's targets.
+// Source is the name of this front as a source of targets at the core.
 const Source = "gearman"
 
-// Scheduler is what the front needs of the core.
+// Scheduler is the part of the core that this front uses.
 type Scheduler interface {
 	TakeIn(*core.Request) core.Ticket
 	Ended(core.Outcome)
@@ -56,42 +56,44 @@
 }
 
 const (
-	idleFor   = 3_600_000.0 // milliseconds: a sleeping worker may stay silent for long
-	packetIn  = 10_000.0    // from a packet's first byte to its last
-	writeFor  = 5_000.0
-	lingerFor = 1_000.0 // for the other side to read why its packet is no packet
-	outbox    = 512     // packets that a connection may be behind
-	version   = "cottonwell"
+	idleTimeoutMS   = 3_600_000.0 // long, since a sleeping worker sends nothing
+	packetTimeoutMS = 10_000.0    // between a packet's first byte and its last
+	writeTimeoutMS  = 5_000.0
+	lingerTimeoutMS = 1_000.0 // for the other side to read the ERROR packet before the connection is closed
+	outboxPackets   = 512     // capacity of a connection's outbox
+	version         = "cottonwell"
 )
 
-// Server is the Gearman front. It is a listener and a target transport at once.
+// Server is the Gearman front. It is both a listener and a target transport.
 type Server struct {
 	cfg     Config
-	name    string // part of every handle and id, new with each start
+	name    string // part of every handle and id; differs after each start
 	core    Scheduler
 	clock   clock.Clock
 	log     *slog.Logger
 	pool    *buffer.Pool
 	sockets *httpio.Budget
 
-	// mu guards what follows. It is never held while the core is called: the core's
+	// mu guards the fields below. It must not be held during a call of the core, whose
 	// goroutine may be waiting for it.
-	mu      sync.Mutex
-	closing bool // no job is taken any more
-	conns   map[*conn]bool
-	jobs    map[string]*job // by handle
-	joined  map[string]*job // by function and unique
-	workers map[string]*worker
-	last    uint64
+	mu           sync.Mutex
+	closing      bool // no further jobs are accepted
+	conns        map[*conn]bool
+	jobs         map[string]*job // by handle
+	jobsByUnique map[string]*job // by function, NUL and unique
+	workers      map[string]*worker
+	lastID       uint64
 }
 
-// New returns a server for a checked configuration.
-func New(cfg Config, name string, sched Scheduler, clk clock.Clock, log *slog.Logger, pool *buffer.Pool) *Server {
-	return &Server{cfg: cfg, name: name, core: sched, clock: clk, log: log.With("front", "gearman"), pool: pool,
+// New returns a server for a configuration that LoadOperator of package config has checked.
+// The name must differ from that of earlier starts, since it makes handles unique.
+func New(cfg Config, name string, scheduler Scheduler, clk clock.Clock, log *slog.Logger, pool *buffer.Pool) *Server {
+	return &Server{cfg: cfg, name: name, core: scheduler, clock: clk, log: log.With("front", "gearman"), pool: pool,
 		sockets: httpio.NewBudget(cfg.Connections), conns: map[*conn]bool{}, jobs: map[string]*job{},
-		joined: map[string]*job{}, workers: map[string]*worker{}}
+		jobsByUnique: map[string]*job{}, workers: map[string]*worker{}}
 }
 
+// function returns the configured function of that name, or nil.
 func (s *Server) function(name string) *Function {
 	for i := range s.cfg.Functions {
 		if s.cfg.Functions[i].Name == name {
@@ -101,38 +103,39 @@
 	return nil
 }
 
-// conn is one connection, of a client, a worker, or both.
+// conn is the connection of a client, a worker, or a peer that is both.
 type conn struct {
 	net.Conn
-	out        chan outgoing
-	gone       chan struct{} // closed once nothing more is written
+	outbox     chan outgoing
+	writerDone chan struct{} // closed when writeOutbox returns
 	exceptions bool          // the client asked for WORK_EXCEPTION
 	worker     *worker
 }
 
-// outgoing is a packet on its way; written, if there, is called once its last byte is out.
+// outgoing is a packet in the outbox.
 type outgoing struct {
-	data    []byte
-	written func()
-	last    bool // close the connection behind it
+	data       []byte
+	onWritten  func() // called after the last byte was written; may be nil
+	closeAfter bool   // the writer stops after this packet
 }
 
-// send puts a packet in the outbox. One that is so far behind is cut off: the core's
-// goroutine waits for nobody.
+// send puts a packet in the outbox. It closes a connection whose outbox is full, so that the
+// core's goroutine never blocks on a slow connection.
 func (c *conn) send(o outgoing) {
 	select {
-	case c.out <- o:
+	case c.outbox <- o:
 	default:
 		c.Close()
 	}
 }
 
+// respond puts a response packet in the outbox.
 func (c *conn) respond(t Type, args ...string) { c.send(outgoing{data: Response(t, args...)}) }
 
-// Serve accepts connections until ctx ends, then closes them.
+// Serve accepts connections until ctx ends. It then closes them and waits for their goroutines.
 func (s *Server) Serve(ctx context.Context, ln net.Listener) error {
-	var all sync.WaitGroup
-	defer all.Wait()
+	var connections sync.WaitGroup
+	defer connections.Wait()
 	defer context.AfterFunc(ctx, func() {
 		ln.Close()
 		s.mu.Lock()
@@ -145,7 +148,7 @@
 		if !s.sockets.Take(ctx.Done()) {
 			return nil
 		}
-		nc, err := ln.Accept()
+		netConn, err := ln.Accept()
 		if err != nil {
 			s.sockets.Give()
 			if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
@@ -153,113 +156,117 @@
 			}
 			return fmt.Errorf("gearman: accept: %w", err)
 		}
-		all.Go(func() {
+		connections.Go(func() {
 			defer s.sockets.Give()
-			s.serve(ctx, nc)
+			s.serveConn(ctx, netConn)
 		})
 	}
 }
 
-// serve reads the packets of one connection. Whatever is wrong with one of them ends
-// this connection and nothing else.
-func (s *Server) serve(ctx context.Context, nc net.Conn) {
-	c := &conn{Conn: nc, out: make(chan outgoing, outbox), gone: make(chan struct{})}
+// serveConn reads and handles the packets of one connection. A protocol error closes that
+// connection and affects no other.
+func (s *Server) serveConn(ctx context.Context, netConn net.Conn) {
+	c := &conn{Conn: netConn, outbox: make(chan outgoing, outboxPackets), writerDone: make(chan struct{})}
 	s.mu.Lock()
 	s.conns[c] = true
 	s.mu.Unlock()
-	stop := make(chan struct{})
-	go s.write(c, stop)
-	err := s.read(ctx, c)
+	stopWriter := make(chan struct{})
+	go s.writeOutbox(c, stopWriter)
+	err := s.readPackets(ctx, c)
 	var fault protocolError
 	if errors.As(err, &fault) {
 		code, text, _ := strings.Cut(string(fault), " ")
-		s.log.Warn("bad packet", "peer", nc.RemoteAddr(), "cause", err)
-		c.send(outgoing{data: Response(Error, code, text), last: true})
-		<-c.gone
-		httpio.CloseGently(nc, s.clock.Deadline(lingerFor))
+		s.log.Warn("bad packet", "peer", netConn.RemoteAddr(), "cause", err)
+		c.send(outgoing{data: Response(Error, code, text), closeAfter: true})
+		<-c.writerDone
+		httpio.CloseGently(netConn, s.clock.Deadline(lingerTimeoutMS))
 	} else {
-		close(stop)
-		<-c.gone
+		close(stopWriter)
+		<-c.writerDone
 	}
 	c.Close()
 	s.mu.Lock()
 	delete(s.conns, c)
 	s.mu.Unlock()
-	s.workerGone(c)
-	s.clientGone(c)
+	s.workerDisconnected(c)
+	s.clientDisconnected(c)
 }
 
-// Wind ends the taking of jobs; those that were taken go on, and workers stay.
+// Wind begins a graceful shutdown: the server rejects further jobs, finishes the accepted ones
+// and keeps its workers connected.
 func (s *Server) Wind() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closing = true
 }
 
-// write writes the outbox until stop, a last packet, or a failure.
-func (s *Server) write(c *conn, stop <-chan struct{}) {
-	defer close(c.gone)
+// writeOutbox writes the packets of the outbox until stop is closed, a packet with closeAfter
+// was written, or a write failed.
+func (s *Server) writeOutbox(c *conn, stop <-chan struct{}) {
+	defer close(c.writerDone)
 	for {
-		var o outgoing
+		var packet outgoing
 		select {
-		case o = <-c.out:
+		case packet = <-c.outbox:
 		case <-stop:
 			return
 		}
-		if c.SetWriteDeadline(s.clock.Deadline(writeFor)) != nil {
+		if c.SetWriteDeadline(s.clock.Deadline(writeTimeoutMS)) != nil {
 			c.Close()
 			return
 		}
-		if _, err := c.Write(o.data); err != nil {
+		if _, err := c.Write(packet.data); err != nil {
 			c.Close()
 			return
 		}
-		if o.written != nil {
-			o.written()
+		if packet.onWritten != nil {
+			packet.onWritten()
 		}
-		if o.last {
+		if packet.closeAfter {
 			return
 		}
 	}
 }
 
-func (s *Server) read(ctx context.Context, c *conn) error {
-	br := bufio.NewReaderSize(c, buffer.Size/2)
+// readPackets reads and handles packets and administrative lines until ctx ends. It returns
+// the first error of the connection or the protocol.
+func (s *Server) readPackets(ctx context.Context, c *conn) error {
+	reader := bufio.NewReaderSize(c, buffer.Size/2)
 	for ctx.Err() == nil {
-		if err := c.SetReadDeadline(s.clock.Deadline(idleFor)); err != nil {
+		if err := c.SetReadDeadline(s.clock.Deadline(idleTimeoutMS)); err != nil {
 			return err
 		}
-		first, err := br.Peek(1)
+		first, err := reader.Peek(1)
 		if err != nil {
 			return err
 		}
-		if err := c.SetReadDeadline(s.clock.Deadline(packetIn)); err != nil {
+		if err := c.SetReadDeadline(s.clock.Deadline(packetTimeoutMS)); err != nil {
 			return err
 		}
-		if first[0] != 0 { // the binary protocol begins with NUL, text does not
-			line, err := br.ReadSlice('\n')
+		if first[0] != 0 { // a binary packet begins with NUL, an administrative line does not
+			line, err := reader.ReadSlice('\n')
 			if errors.Is(err, bufio.ErrBufferFull) {
 				return protocolError("too_large line has no end")
 			}
 			if err != nil {
 				return err
 			}
-			c.send(outgoing{data: []byte(s.admin(strings.TrimSpace(string(line))))})
+			c.send(outgoing{data: []byte(s.adminResponse(strings.TrimSpace(string(line))))})
 			continue
 		}
-		p, err := ReadPacket(br)
+		p, err := ReadPacket(reader)
 		if err != nil {
 			return err
 		}
-		if err := s.take(c, p); err != nil {
+		if err := s.handlePacket(c, p); err != nil {
 			return err
 		}
 	}
 	return ctx.Err()
 }
 
-// take does what a packet asks for.
-func (s *Server) take(c *conn, p Packet) error {
+// handlePacket handles one packet. An error that it returns ends the connection.
+func (s *Server) handlePacket(c *conn, p Packet) error {
 	switch p.Type {
 	case EchoReq:
 		c.respond(EchoRes, p.Args[0])
@@ -275,9 +282,9 @@
 	case SubmitJob, SubmitJobHigh, SubmitJobLow, SubmitJobBG, SubmitJobHighBG, SubmitJobLowBG:
 		return s.submit(c, p)
 	case GetStatus:
-		c.respond(StatusRes, s.status(p.Args[0])...)
+		c.respond(StatusRes, s.statusArgs(p.Args[0])...)
 	case SetClientID:
-		return s.identify(c, p.Args[0])
+		return s.setClientID(c, p.Args[0])
 	case CanDo, CanDoTimeout:
 		return s.canDo(c, p.Args[0])
 	case CantDo:
@@ -285,16 +292,16 @@
 	case ResetAbilities:
 		s.cantDo(c, "")
 	case PreSleep:
-		s.sleep(c)
+		s.preSleep(c)
 	case GrabJob:
-		s.grab(c, JobAssign)
+		s.assignNext(c, JobAssign)
 	case GrabJobUniq:
-		s.grab(c, JobAssignUniq)
+		s.assignNext(c, JobAssignUniq)
 	case GrabJobAll:
-		s.grab(c, JobAssignAll)
+		s.assignNext(c, JobAssignAll)
 	case WorkStatus, WorkComplete, WorkFail, WorkData, WorkWarning, WorkException:
-		s.work(c, p)
-	case AllYours: // a hint for servers that keep their workers waiting
+		s.handleWork(c, p)
+	case AllYours: // a hint that this server ignores: it is meant for servers that keep workers waiting
 	}
 	return nil
 }
--- a/internal/gearman/workers.go
+++ b/internal/gearman/workers.go
@@ -12,36 +12,37 @@
 	"cottonwell/internal/net/httpio"
 )
 
-// worker is a connected worker: a target.
+// worker is a connected worker. The core sees it as a target.
 type worker struct {
 	Worker
-	conn    *conn
-	can     map[string]bool
-	asleep  bool
-	since   float64             // when it connected: it is cold then
-	put     []*attempt          // before it, the next to be handed over first
-	handed  map[string]*attempt // by its handle for the worker
-	removed bool
-	number  uint64 // of the connection
+	conn        *conn
+	functions   map[string]bool
+	asleep      bool
+	connectedMS float64             // when it sent its client ID; it is cold from then on
+	queued      []*attempt          // attempts to assign, the next one first
+	assigned    map[string]*attempt // by the job handle that the worker received
+	removed     bool
+	connID      uint64 // unique for each connection
 }
 
-// attempt is a send to a worker.
+// attempt is an attempt that the core started at a worker.
 type attempt struct {
 	core.Attempt
-	written bool // the worker has the whole JOB_ASSIGN: it may run
-	givenUp bool
+	written   bool // the whole JOB_ASSIGN was written, so the job may run
+	cancelled bool
 }
 
-// target is the worker's name for the core, another one for each connection: a worker
-// that is back has nothing to do with what was sent before, and news of the old
-// connection's end cannot be taken for its own.
-func (w *worker) target() string { return fmt.Sprintf("gearman:%s#%d", w.ID, w.number) }
+// targetID returns the worker's target ID at the core. It differs for each connection, so that
+// earlier attempts are not attributed to a worker that has reconnected, and the end of its old
+// connection does not affect its new one.
+func (w *worker) targetID() string { return fmt.Sprintf("gearman:%s#%d", w.ID, w.connID) }
 
-// identify takes the worker's name for itself, by which the operator's file knows it.
-func (s *Server) identify(c *conn, id string) error {
-	i := slices.IndexFunc(s.cfg.Workers, func(w Worker) bool { return w.ID == id })
-	if i < 0 {
-		return protocolError("unknown_worker the operator's file has no worker " + strconv.Quote(clip(id)))
+// setClientID registers the connection as the worker that the operator's file lists under id.
+// It closes an older connection with the same id.
+func (s *Server) setClientID(c *conn, id string) error {
+	index := slices.IndexFunc(s.cfg.Workers, func(w Worker) bool { return w.ID == id })
+	if index < 0 {
+		return protocolError("unknown_worker the operator's file has no worker " + strconv.Quote(truncate(id)))
 	}
 	s.mu.Lock()
 	if c.worker != nil {
@@ -50,26 +51,27 @@
 	}
 	old := s.workers[id]
 	s.mu.Unlock()
-	if old != nil { // it is back before its old connection was seen to end: that one is dead
+	if old != nil { // the worker reconnected before the server detected the end of its old connection
 		old.conn.Close()
-		s.workerGone(old.conn)
+		s.workerDisconnected(old.conn)
 	}
-	w := &worker{Worker: s.cfg.Workers[i], conn: c, can: map[string]bool{}, handed: map[string]*attempt{}, since: s.clock.Now()}
+	w := &worker{Worker: s.cfg.Workers[index], conn: c, functions: map[string]bool{}, assigned: map[string]*attempt{}, connectedMS: s.clock.Now()}
 	s.mu.Lock()
 	if s.workers[id] != nil {
 		s.mu.Unlock()
 		return protocolError("already_connected another connection has this name")
 	}
-	s.last++
-	w.number = s.last
+	s.lastID++
+	w.connID = s.lastID
 	c.worker, s.workers[id] = w, w
 	s.mu.Unlock()
 	return nil
 }
 
+// canDo adds a function to the ones that a worker can run, and updates the core's target list.
 func (s *Server) canDo(c *conn, name string) error {
 	if s.function(name) == nil {
-		return protocolError("unknown_function no class is set for " + strconv.Quote(clip(name)))
+		return protocolError("unknown_function no class is set for " + strconv.Quote(truncate(name)))
 	}
 	s.mu.Lock()
 	w := c.worker
@@ -77,15 +79,15 @@
 		s.mu.Unlock()
 		return protocolError("no_client_id SET_CLIENT_ID comes before CAN_DO: the name says where a worker stands")
 	}
-	w.can[name] = true
-	g := w.group(s)
+	w.functions[name] = true
+	update := w.groupUpdate(s)
 	s.mu.Unlock()
-	s.core.List(Source, g)
+	s.core.List(Source, update)
 	return nil
 }
 
-// cantDo ends one ability, or all of them if name is empty. What was put before the
-// worker for it goes back unstarted, at once.
+// cantDo removes one function from the ones that a worker can run, or all of them if name is
+// empty. Queued attempts that the worker can no longer run end at once as not begun.
 func (s *Server) cantDo(c *conn, name string) {
 	s.mu.Lock()
 	w := c.worker
@@ -94,193 +96,200 @@
 		return
 	}
 	if name == "" {
-		clear(w.can)
+		clear(w.functions)
 	} else {
-		delete(w.can, name)
+		delete(w.functions, name)
 	}
-	var back []*attempt
-	w.put = slices.DeleteFunc(w.put, func(a *attempt) bool {
-		if s.able(w, a) {
+	var withdrawn []*attempt
+	w.queued = slices.DeleteFunc(w.queued, func(a *attempt) bool {
+		if s.canRun(w, a) {
 			return false
 		}
-		back = append(back, a)
+		withdrawn = append(withdrawn, a)
 		return true
 	})
-	g := w.group(s)
+	update := w.groupUpdate(s)
 	s.mu.Unlock()
-	s.core.List(Source, g)
-	for _, a := range back {
-		s.end(a, w, httpio.NotBegun, "")
+	s.core.List(Source, update)
+	for _, a := range withdrawn {
+		s.endAttempt(a, w, httpio.NotBegun, "")
 	}
 }
 
-// group tells the core of w as it is now.
-func (w *worker) group(s *Server) core.Group {
-	m := balance.Member{ID: w.target(), Zone: w.Zone, Kind: w.Kind, Cell: w.Pod, State: balance.Ready, Weight: 1}
-	for name := range w.can {
-		if f := s.function(name); f != nil && !strings.Contains(m.Classes, ","+f.Class+",") {
-			m.Classes += "," + f.Class + ","
+// groupUpdate returns a change of the core's target list with the current state of w. The
+// caller holds the server's mu.
+func (w *worker) groupUpdate(s *Server) core.Group {
+	member := balance.Member{ID: w.targetID(), Zone: w.Zone, Kind: w.Kind, Cell: w.Pod, State: balance.Ready, Weight: 1}
+	for name := range w.functions {
+		if f := s.function(name); f != nil && !strings.Contains(member.Classes, ","+f.Class+",") {
+			member.Classes += "," + f.Class + ","
 		}
 	}
 	switch {
 	case w.removed:
-		m.State = balance.Gone
-	case len(w.can) == 0:
-		m.State = balance.Draining
+		member.State = balance.Gone
+	case len(w.functions) == 0:
+		member.State = balance.Draining
 	}
-	return core.Group{Scope: balance.Changes, Targets: []core.Target{{Member: m, StartedMS: w.since}}}
+	return core.Group{Scope: balance.Changes, Targets: []core.Target{{Member: member, StartedMS: w.connectedMS}}}
 }
 
-// able says whether w can do what a asks for: the function itself, or for a job that came
-// by another front any function of its class.
-func (s *Server) able(w *worker, a *attempt) bool { return s.functionFor(w, a) != "" }
+// canRun reports whether w can run the job of a.
+func (s *Server) canRun(w *worker, a *attempt) bool { return s.functionFor(w, a) != "" }
 
+// functionFor returns the function under which w can run the job of a, or "" if there is none.
+// For a job from another front it is any function of the job's class.
 func (s *Server) functionFor(w *worker, a *attempt) string {
 	if a.Job.Function != "" {
-		if w.can[a.Job.Function] {
+		if w.functions[a.Job.Function] {
 			return a.Job.Function
 		}
 		return ""
 	}
 	for _, f := range s.cfg.Functions {
-		if f.Class == a.Class && w.can[f.Name] {
+		if f.Class == a.Class && w.functions[f.Name] {
 			return f.Name
 		}
 	}
 	return ""
 }
 
-// Listed implements core.Transport; this front tells of its targets itself.
+// Listed implements core.Transport. It does nothing, since this front announces its own targets.
 func (s *Server) Listed(core.Group) {}
 
-// Probe implements core.Transport: Gearman workers cannot be asked, so the server answers
-// what it knows.
+// Probe implements core.Transport. The protocol has no probe of a worker, so the result is
+// derived from the server's own state.
 func (s *Server) Probe(target string) {
-	r := core.ProbeResult{Target: target, Result: balance.NoConnection}
+	result := core.ProbeResult{Target: target, Result: balance.NoConnection}
 	s.mu.Lock()
-	if w := s.byTarget(target); w != nil {
-		r.Result, r.Report = balance.OK, w.report()
+	if w := s.workerByTarget(target); w != nil {
+		result.Result, result.Report = balance.OK, w.report()
 	}
 	s.mu.Unlock()
-	go s.core.ProbeEnded(r)
+	go s.core.ProbeEnded(result)
 }
 
-func (s *Server) byTarget(name string) *worker {
+// workerByTarget returns the connected worker with that target ID, or nil.
+func (s *Server) workerByTarget(name string) *worker {
 	for _, w := range s.workers {
-		if w.target() == name {
+		if w.targetID() == name {
 			return w
 		}
 	}
 	return nil
 }
 
-// report is what the server knows of a worker's load: it runs one job at a time.
+// report returns a worker's load as the server has counted it. A worker runs one job at a time.
 func (w *worker) report() balance.Report {
 	free := 1.0
-	if len(w.handed) > 0 {
+	if len(w.assigned) > 0 {
 		free = 0
 	}
-	return balance.Report{Present: true, InFlight: float64(len(w.put) + len(w.handed)), Waiting: float64(len(w.put)), Free: free}
+	return balance.Report{Present: true, InFlight: float64(len(w.queued) + len(w.assigned)), Waiting: float64(len(w.queued)), Free: free}
 }
 
-// Start implements core.Transport: the job is put before the worker, who is woken.
-func (s *Server) Start(a core.Attempt) {
-	at := &attempt{Attempt: a}
+// Start implements core.Transport. It queues the job for the worker, in order of priority, and
+// wakes a sleeping worker.
+func (s *Server) Start(sent core.Attempt) {
+	added := &attempt{Attempt: sent}
 	s.mu.Lock()
-	w := s.byTarget(a.Target)
-	ok := w != nil && s.able(w, at)
-	if ok {
-		i := slices.IndexFunc(w.put, func(x *attempt) bool { return x.Job.Priority < a.Job.Priority })
+	w := s.workerByTarget(sent.Target)
+	accepted := w != nil && s.canRun(w, added)
+	if accepted {
+		i := slices.IndexFunc(w.queued, func(x *attempt) bool { return x.Job.Priority < sent.Job.Priority })
 		if i < 0 {
-			i = len(w.put)
+			i = len(w.queued)
 		}
-		w.put = slices.Insert(w.put, i, at)
+		w.queued = slices.Insert(w.queued, i, added)
 		if w.asleep {
 			w.asleep = false
 			w.conn.respond(Noop)
 		}
 	}
 	s.mu.Unlock()
-	if !ok {
-		go s.end(at, nil, httpio.NotBegun, "")
+	if !accepted {
+		go s.endAttempt(added, nil, httpio.NotBegun, "")
 	}
 }
 
-// Cancel implements core.Transport. A job that was not handed over has not run; one that
-// was is given up by no longer listening.
+// Cancel implements core.Transport. A queued job is removed and has not run. For an assigned
+// job, the server ignores further packets of the worker about it.
 func (s *Server) Cancel(a core.Attempt) {
 	s.mu.Lock()
-	w := s.byTarget(a.Target)
-	var at *attempt
-	back := httpio.GivenUp
+	w := s.workerByTarget(a.Target)
+	var ended *attempt
+	exchange := httpio.GivenUp
 	if w != nil {
-		if i := slices.IndexFunc(w.put, func(x *attempt) bool { return x.Ref == a.Ref }); i >= 0 {
-			at, back = w.put[i], httpio.NotBegun
-			w.put = slices.Delete(w.put, i, i+1)
+		if i := slices.IndexFunc(w.queued, func(x *attempt) bool { return x.Ref == a.Ref }); i >= 0 {
+			ended, exchange = w.queued[i], httpio.NotBegun
+			w.queued = slices.Delete(w.queued, i, i+1)
 		}
-		for _, x := range w.handed {
+		for _, x := range w.assigned {
 			if x.Ref == a.Ref && !a.Unsent {
-				x.givenUp = true // it stays in hand: the worker is busy with it
+				x.cancelled = true // it stays assigned, since the worker is still busy with it
 			}
 		}
 	}
 	s.mu.Unlock()
-	if at == nil && a.Unsent {
+	if ended == nil && a.Unsent {
 		return
 	}
-	if at == nil {
-		at = &attempt{Attempt: core.Attempt{Ref: a.Ref}}
+	if ended == nil {
+		ended = &attempt{Attempt: core.Attempt{Ref: a.Ref}}
 	}
-	go s.end(at, nil, back, "")
+	go s.endAttempt(ended, nil, exchange, "")
 }
 
-// end tells the core how an attempt ended, and lets go of its body.
-func (s *Server) end(a *attempt, w *worker, back httpio.Exchange, body string) {
+// endAttempt releases an attempt's body and reports the outcome to the core. The outcome
+// includes the worker's load unless w is nil.
+func (s *Server) endAttempt(a *attempt, w *worker, exchange httpio.Exchange, body string) {
 	if a.Job.Body != nil {
 		a.Job.Body.Release()
 	}
-	res, _ := httpio.Outcome(back)
-	o := core.Outcome{Ref: a.Ref, Result: res, Body: body}
+	result, _ := httpio.Outcome(exchange)
+	outcome := core.Outcome{Ref: a.Ref, Result: result, Body: body}
 	if w != nil {
 		s.mu.Lock()
-		o.Report = w.report()
+		outcome.Report = w.report()
 		s.mu.Unlock()
 	}
-	s.core.Ended(o)
+	s.core.Ended(outcome)
 }
 
-func (s *Server) sleep(c *conn) {
+// preSleep marks a worker as asleep, or wakes it at once if jobs are queued for it.
+func (s *Server) preSleep(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	w := c.worker
 	if w == nil {
 		return
 	}
-	if len(w.put) > 0 { // something came since its last GRAB_JOB
+	if len(w.queued) > 0 { // a job was queued after its last GRAB_JOB
 		c.respond(Noop)
 		return
 	}
 	w.asleep = true
 }
 
-// grab hands the first job that was put before a worker over to it.
-func (s *Server) grab(c *conn, as Type) {
+// assignNext assigns a worker the first job that is queued for it, or responds NO_JOB. It
+// reports the job as started once the packet was written.
+func (s *Server) assignNext(c *conn, packetType Type) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	w := c.worker
-	if w == nil || w.removed || len(w.put) == 0 {
+	if w == nil || w.removed || len(w.queued) == 0 {
 		c.respond(NoJob)
 		return
 	}
 	w.asleep = false
-	a := w.put[0]
-	w.put = w.put[1:]
+	a := w.queued[0]
+	w.queued = w.queued[1:]
 	handle := fmt.Sprintf("H:%s:%d.%d", s.name, a.Flow, a.N)
-	w.handed[handle] = a
-	var load []byte
+	w.assigned[handle] = a
+	var workload []byte
 	if a.Job.Body != nil {
 		for _, part := range a.Job.Body.Slices() {
-			load = append(load, part...)
+			workload = append(workload, part...)
 		}
 	}
 	args := []string{handle, s.functionFor(w, a)}
@@ -288,31 +297,31 @@
 	if unique == "" {
 		unique = a.Job.Key
 	}
-	switch as {
+	switch packetType {
 	case JobAssignUniq:
 		args = append(args, unique)
 	case JobAssignAll:
 		args = append(args, unique, "") // no reducer
 	}
-	c.send(outgoing{data: Response(as, append(args, string(load))...), written: func() {
+	c.send(outgoing{data: Response(packetType, append(args, string(workload))...), onWritten: func() {
 		s.mu.Lock()
 		a.written = true
-		heard := !a.givenUp
+		active := !a.cancelled
 		s.mu.Unlock()
-		if heard {
+		if active {
 			s.core.News(core.TargetNews{ID: a.ID, From: a.Target, Progress: &core.Progress{Started: true}})
 		}
 	}})
 }
 
-// work takes a worker's word about a job in its hand.
-func (s *Server) work(c *conn, p Packet) {
+// handleWork handles a WORK packet: a worker's progress, data or outcome of an assigned job.
+func (s *Server) handleWork(c *conn, p Packet) {
 	handle := p.Args[0]
 	s.mu.Lock()
 	w := c.worker
 	var a *attempt
 	if w != nil {
-		a = w.handed[handle]
+		a = w.assigned[handle]
 	}
 	if a == nil {
 		s.mu.Unlock()
@@ -321,43 +330,43 @@
 	}
 	final := p.Type == WorkComplete || p.Type == WorkFail
 	if final {
-		delete(w.handed, handle)
+		delete(w.assigned, handle)
 	}
-	heard := !a.givenUp
+	active := !a.cancelled
 	s.mu.Unlock()
 	if final {
 		switch {
-		case !heard: // the core has ended it already
+		case !active: // the core was sent the outcome on Cancel
 			if a.Job.Body != nil {
 				a.Job.Body.Release()
 			}
 		case p.Type == WorkComplete:
-			s.end(a, w, httpio.JobDone, p.Args[1])
+			s.endAttempt(a, w, httpio.JobDone, p.Args[1])
 		default:
-			s.end(a, w, httpio.JobFailed, "")
+			s.endAttempt(a, w, httpio.JobFailed, "")
 		}
 		return
 	}
-	if !heard {
+	if !active {
 		return
 	}
-	pr := core.Progress{Warning: p.Type == WorkWarning, Exception: p.Type == WorkException}
+	progress := core.Progress{Warning: p.Type == WorkWarning, Exception: p.Type == WorkException}
 	if p.Type == WorkStatus {
-		num, err1 := strconv.ParseFloat(p.Args[1], 64)
-		den, err2 := strconv.ParseFloat(p.Args[2], 64)
-		if err1 != nil || err2 != nil || !(den > 0) {
+		numerator, err1 := strconv.ParseFloat(p.Args[1], 64)
+		denominator, err2 := strconv.ParseFloat(p.Args[2], 64)
+		if err1 != nil || err2 != nil || !(denominator > 0) {
 			return
 		}
-		pr.Fraction = min(1, max(0, num/den))
+		progress.Fraction = min(1, max(0, numerator/denominator))
 	} else {
-		pr.Data = p.Args[1]
+		progress.Data = p.Args[1]
 	}
-	s.core.News(core.TargetNews{ID: a.ID, From: a.Target, Progress: &pr})
+	s.core.News(core.TargetNews{ID: a.ID, From: a.Target, Progress: &progress})
 }
 
-// workerGone ends all that a closed connection's worker had: what was handed over may have
-// run, the rest has not.
-func (s *Server) workerGone(c *conn) {
+// workerDisconnected removes the worker of a closed connection and ends all its attempts. A job
+// whose JOB_ASSIGN was written may have run; the others have not.
+func (s *Server) workerDisconnected(c *conn) {
 	s.mu.Lock()
 	w := c.worker
 	if w == nil || w.removed {
@@ -368,28 +377,28 @@
 	if s.workers[w.ID] == w {
 		delete(s.workers, w.ID)
 	}
-	put, handed := w.put, slices.Collect(maps.Values(w.handed))
-	w.put = nil
-	clear(w.handed)
-	g := w.group(s)
+	queued, assigned := w.queued, slices.Collect(maps.Values(w.assigned))
+	w.queued = nil
+	clear(w.assigned)
+	update := w.groupUpdate(s)
 	s.mu.Unlock()
-	s.core.List(Source, g) // first, so that nothing of it comes back here
-	for _, a := range put {
-		s.end(a, nil, httpio.BrokenBefore, "")
+	s.core.List(Source, update) // before the outcomes, so that the core sends no retry to this worker
+	for _, a := range queued {
+		s.endAttempt(a, nil, httpio.BrokenBefore, "")
 	}
-	for _, a := range handed {
+	for _, a := range assigned {
 		s.mu.Lock()
-		written, heard := a.written, !a.givenUp
+		written, active := a.written, !a.cancelled
 		s.mu.Unlock()
 		switch {
-		case !heard:
+		case !active:
 			if a.Job.Body != nil {
 				a.Job.Body.Release()
 			}
 		case written:
-			s.end(a, nil, httpio.BrokenAfter, "")
+			s.endAttempt(a, nil, httpio.BrokenAfter, "")
 		default:
-			s.end(a, nil, httpio.BrokenBefore, "")
+			s.endAttempt(a, nil, httpio.BrokenBefore, "")
 		}
 	}
 }
