--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,7 @@
-// Package config reads what a scheduler is told at its start: the platform's
-// configuration with the settings of the decision module, and the operator's file.
+// Package config reads the two configuration files of a scheduler: the platform's JSON
+// configuration, which includes the settings of the decision module, and the operator's TOML
+// file. It is given the paths and the environment, and returns checked values with defaults
+// filled in, or an error that names what is wrong. It starts nothing and does not watch the files.
 package config
 
 import (
@@ -22,9 +24,9 @@
 type Config struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
-	Control   string `json:"control"` // address of operators' calls, or empty
+	Control   string `json:"control"` // listen address for operators' requests; empty if disabled
 	Discovery string `json:"discovery"`
-	SeedText  string `json:"seed"`
+	RawSeed   string `json:"seed"`
 	Limits    struct {
 		Cores    float64 `json:"cores"`
 		MemoryMB int     `json:"memory_mb"`
@@ -37,13 +39,14 @@
 	RawSettings map[string]any `json:"settings"`
 
 	Settings balance.Settings `json:"-"`
-	// Pushed says that discovery is an agent on this machine: what that has counts as told, whether or not it was
-	// read.
+	// Pushed reports that discovery is an agent on this machine to which lists are pushed. A list that the agent has
+	// received counts as delivered, whether or not the scheduler has read it.
 	Pushed bool   `json:"-"`
 	Seed   uint64 `json:"-"`
 }
 
-// Load reads the file named by the environment; variables of their own win over it.
+// Load reads the configuration file at path. The environment variables RELAY_NAME, RELAY_LISTEN,
+// RELAY_DISCOVERY and RELAY_CONTROL override its values.
 func Load(path string, env func(string) string) (*Config, error) {
 	if path == "" {
 		return nil, fmt.Errorf("no configuration: RELAY_CONFIG is not set and --config not given")
@@ -52,73 +55,74 @@
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	c, err := Parse(data)
+	cfg, err := Parse(data)
 	if err != nil {
 		return nil, fmt.Errorf("configuration %s: %w", path, err)
 	}
-	for name, to := range map[string]*string{"RELAY_NAME": &c.Name, "RELAY_LISTEN": &c.Listen, "RELAY_DISCOVERY": &c.Discovery, "RELAY_CONTROL": &c.Control} {
+	for name, dest := range map[string]*string{"RELAY_NAME": &cfg.Name, "RELAY_LISTEN": &cfg.Listen, "RELAY_DISCOVERY": &cfg.Discovery, "RELAY_CONTROL": &cfg.Control} {
 		if v := env(name); v != "" {
-			*to = v
+			*dest = v
 		}
 	}
-	if c.Listen == "" {
-		return nil, fmt.Errorf("configuration %s: no address to listen at", path)
+	if cfg.Listen == "" {
+		return nil, fmt.Errorf("configuration %s: listen address is missing", path)
 	}
-	return c, nil
+	return cfg, nil
 }
 
-// Discovery reads the file again and returns the address of discovery that stands there.
-// The environment was set once, at the start, so that what it says of discovery is older.
+// Discovery reads the file again and returns its discovery address. It ignores the environment,
+// which was set at the start and is therefore older than the file.
 func Discovery(path string) (string, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return "", fmt.Errorf("configuration: %w", err)
 	}
-	c, err := Parse(data)
+	cfg, err := Parse(data)
 	if err != nil {
 		return "", fmt.Errorf("configuration %s: %w", path, err)
 	}
-	if _, _, err := net.SplitHostPort(c.Discovery); err != nil {
+	if _, _, err := net.SplitHostPort(cfg.Discovery); err != nil {
 		return "", fmt.Errorf("configuration %s: discovery: %w", path, err)
 	}
-	return c.Discovery, nil
+	return cfg.Discovery, nil
 }
 
-// Parse reads a configuration.
+// Parse decodes a configuration and fills in defaults: 192 MB of memory and 1024 sockets.
 func Parse(data []byte) (*Config, error) {
-	c := &Config{}
-	d := json.NewDecoder(bytes.NewReader(data))
-	d.UseNumber() // or large microsecond figures would come out in another form
-	if err := d.Decode(c); err != nil {
+	cfg := &Config{}
+	decoder := json.NewDecoder(bytes.NewReader(data))
+	decoder.UseNumber() // a float64 would be printed differently for large numbers of microseconds
+	if err := decoder.Decode(cfg); err != nil {
 		return nil, err
 	}
-	c.Seed = seed(c.SeedText)
-	if c.Limits.MemoryMB <= 0 {
-		c.Limits.MemoryMB = 192
+	cfg.Seed = parseSeed(cfg.RawSeed)
+	if cfg.Limits.MemoryMB <= 0 {
+		cfg.Limits.MemoryMB = 192
 	}
-	if c.Limits.Sockets <= 0 {
-		c.Limits.Sockets = 1024
+	if cfg.Limits.Sockets <= 0 {
+		cfg.Limits.Sockets = 1024
 	}
-	pairs, err := Flatten(c.RawSettings)
+	pairs, err := Flatten(cfg.RawSettings)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	c.Settings, err = settings(pairs)
+	cfg.Settings, err = parseSettings(pairs)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	// On sockets lists always come on a watch that has to be opened; the settings say only whose it is.
-	c.Pushed, c.Settings.Subscribe = !c.Settings.Subscribe, true
-	if c.Pushed {
-		// The agent is on this machine and costs nothing to ask. It holds calls while it is silent and answers them at
-		// its return, when what it has counts at once; so the less time there is between two calls, the better.
-		c.Settings.AskWithin = 0
+	// On real sockets lists always arrive on a watch that the scheduler opens. The setting only decides whether that
+	// watch is at discovery or at the agent.
+	cfg.Pushed, cfg.Settings.Subscribe = !cfg.Settings.Subscribe, true
+	if cfg.Pushed {
+		// The agent is on this machine, so a request costs nothing. It holds requests while it is silent and responds
+		// when it returns, and from then on its list counts as delivered. So the time between two requests is minimal.
+		cfg.Settings.AskWithin = 0
 	}
-	return c, nil
+	return cfg, nil
 }
 
-// seed turns the seed's text into a number, as hex where it is.
-func seed(text string) uint64 {
+// parseSeed converts the seed to a number: a hexadecimal number is parsed, any other text is hashed.
+func parseSeed(text string) uint64 {
 	if n, err := strconv.ParseUint(text, 16, 64); err == nil {
 		return n
 	}
@@ -127,45 +131,45 @@
 	return h.Sum64()
 }
 
-// settings hands the pairs to the parser of the simulator's wire, so that both sides
-// read one form.
-func settings(pairs []string) (balance.Settings, error) {
+// parseSettings parses path=value pairs with the parser of the simulator's wire, so that the
+// scheduler and the simulator read the same format.
+func parseSettings(pairs []string) (balance.Settings, error) {
 	text := "FRAME sim-time-us=0 seq=0\nSPAWN dispatcher=0 rng-seed=0 " + strings.Join(pairs, " ") + "\nEND\n"
-	in := wire.NewReader(strings.NewReader(text))
+	reader := wire.NewReader(strings.NewReader(text))
 	for {
-		it, err := in.Next()
+		item, err := reader.Next()
 		if err != nil {
 			return balance.Settings{}, err
 		}
-		if it.Kind == wire.Start {
-			return it.Settings, nil
+		if item.Kind == wire.Start {
+			return item.Settings, nil
 		}
 	}
 }
 
-// Flatten turns nested settings into the wire's path=value pairs, sorted: lists of
-// plain values are joined by commas, lists of objects get a count and numbers, and
-// what would break a pair becomes an underscore.
+// Flatten converts nested settings to the wire's path=value pairs, sorted. It joins lists of
+// scalars with commas. A list of objects becomes a count and one numbered path for each object.
+// It replaces characters that would break a pair with an underscore.
 func Flatten(settings map[string]any) ([]string, error) {
-	var out []string
+	var pairs []string
 	var walk func(path string, v any) error
 	walk = func(path string, v any) error {
-		at := func(name string) string { return strings.TrimPrefix(path+"."+name, ".") }
+		subpath := func(name string) string { return strings.TrimPrefix(path+"."+name, ".") }
 		switch v := v.(type) {
 		case nil:
 			return nil
 		case map[string]any:
 			for name, x := range v {
-				if err := walk(at(clean(name)), x); err != nil {
+				if err := walk(subpath(sanitize(name)), x); err != nil {
 					return err
 				}
 			}
 			return nil
 		case []any:
 			if slices.ContainsFunc(v, func(x any) bool { _, ok := x.(map[string]any); return ok }) {
-				out = append(out, at("count")+"="+strconv.Itoa(len(v)))
+				pairs = append(pairs, subpath("count")+"="+strconv.Itoa(len(v)))
 				for i, x := range v {
-					if err := walk(at(strconv.Itoa(i)), x); err != nil {
+					if err := walk(subpath(strconv.Itoa(i)), x); err != nil {
 						return err
 					}
 				}
@@ -173,33 +177,34 @@
 			}
 			var parts []string
 			for _, x := range v {
-				s, err := plain(x)
+				s, err := formatScalar(x)
 				if err != nil {
 					return fmt.Errorf("%s: %w", path, err)
 				}
 				parts = append(parts, s)
 			}
-			out = append(out, path+"="+strings.Join(parts, ","))
+			pairs = append(pairs, path+"="+strings.Join(parts, ","))
 			return nil
 		}
-		s, err := plain(v)
+		s, err := formatScalar(v)
 		if err != nil {
 			return fmt.Errorf("%s: %w", path, err)
 		}
-		out = append(out, path+"="+s)
+		pairs = append(pairs, path+"="+s)
 		return nil
 	}
 	if err := walk("", settings); err != nil {
 		return nil, err
 	}
-	slices.Sort(out)
-	return out, nil
+	slices.Sort(pairs)
+	return pairs, nil
 }
 
-func plain(v any) (string, error) {
+// formatScalar formats a string, boolean or number as the value of a pair.
+func formatScalar(v any) (string, error) {
 	switch v := v.(type) {
 	case string:
-		return clean(v), nil
+		return sanitize(v), nil
 	case bool:
 		return strconv.FormatBool(v), nil
 	case json.Number:
@@ -207,10 +212,11 @@
 	case float64:
 		return strconv.FormatFloat(v, 'f', -1, 64), nil
 	}
-	return "", fmt.Errorf("a value of an unknown form (%T)", v)
+	return "", fmt.Errorf("unsupported value type %T", v)
 }
 
-func clean(s string) string {
+// sanitize replaces white space, control characters, commas and equals signs with underscores.
+func sanitize(s string) string {
 	return strings.Map(func(r rune) rune {
 		if r <= ' ' || r == ',' || r == '=' {
 			return '_'
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -12,16 +12,16 @@
 	"cottonwell/balance"
 )
 
-func load(t *testing.T) *Config {
+func loadTestConfig(t *testing.T) *Config {
 	data, err := os.ReadFile("../../cmd/cottonwell/testdata/config.json")
 	require.NoError(t, err)
-	c, err := Parse([]byte(strings.Replace(string(data), "TARGETS", "", 1)))
+	cfg, err := Parse([]byte(strings.Replace(string(data), "TARGETS", "", 1)))
 	require.NoError(t, err)
-	return c
+	return cfg
 }
 
-func TestSettingsComeThrough(t *testing.T) {
-	s := load(t).Settings
+func TestParseReadsSettings(t *testing.T) {
+	s := loadTestConfig(t).Settings
 	require.Equal(t, 5*time.Millisecond, s.Tick)
 	require.True(t, s.ReportsFree, "a space in a value becomes an underscore, as on the wire")
 	require.True(t, s.TellsStart && s.Subscribe && s.Cancel)
@@ -30,20 +30,20 @@
 	require.Equal(t, 2.5, s.Classes[1].Stretch)
 }
 
-// Failure (short days of a site whose lists are pushed): the settings say that nothing is to be asked for, so no watch was
-// ever opened, and drains were never heard of. On sockets the agent has to be asked, too.
+// Failure: at a site whose lists are pushed, the settings disable subscriptions, so the scheduler never opened a watch and
+// never learned of drains. On real sockets the scheduler must open a watch at the agent, too.
 func TestListsAreWatchedAlsoWhereTheyArePushed(t *testing.T) {
-	require.False(t, load(t).Pushed)
+	require.False(t, loadTestConfig(t).Pushed)
 	data, err := os.ReadFile("../../cmd/cottonwell/testdata/config.json")
 	require.NoError(t, err)
-	c, err := Parse([]byte(strings.NewReplacer("TARGETS", "", `"registry-mode":"subscribe"`, `"registry-mode":"automatic"`).Replace(string(data))))
+	cfg, err := Parse([]byte(strings.NewReplacer("TARGETS", "", `"registry-mode":"subscribe"`, `"registry-mode":"automatic"`).Replace(string(data))))
 	require.NoError(t, err)
-	require.True(t, c.Pushed && c.Settings.Subscribe)
-	require.Zero(t, c.Settings.AskWithin, "between two calls to the agent lies the shortest wait that there is")
+	require.True(t, cfg.Pushed && cfg.Settings.Subscribe)
+	require.Zero(t, cfg.Settings.AskWithin, "the time between two requests to the agent is minimal")
 }
 
 func TestFlatten(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		in   map[string]any
 		want []string
 	}{
@@ -52,29 +52,29 @@
 		{map[string]any{"l": []any{map[string]any{"n": "q"}, map[string]any{}}}, []string{"l.0.n=q", "l.count=2"}},
 		{map[string]any{"f": 0.25, "i": 3e6}, []string{"f=0.25", "i=3000000"}},
 	} {
-		got, err := Flatten(c.in)
+		got, err := Flatten(test.in)
 		require.NoError(t, err)
-		require.Equal(t, c.want, got)
+		require.Equal(t, test.want, got)
 	}
 	_, err := Flatten(map[string]any{"a": struct{}{}})
-	require.ErrorContains(t, err, "a: a value of an unknown form")
+	require.ErrorContains(t, err, "a: unsupported value type struct {}")
 }
 
-func TestOperatorsFile(t *testing.T) {
-	s := load(t).Settings
-	op, err := LoadOperator("../../deploy/operator.toml", &s)
+func TestLoadOperator(t *testing.T) {
+	settings := loadTestConfig(t).Settings
+	operator, err := LoadOperator("../../deploy/operator.toml", &settings)
 	require.NoError(t, err)
-	require.True(t, op.Gearman.Functions[1].Keyed)
-	require.Equal(t, "/purchase", op.Gearman.Functions[1].Path)
-	_, err = LoadOperator("../../deploy/duties.toml", &s)
+	require.True(t, operator.Gearman.Functions[1].Keyed)
+	require.Equal(t, "/purchase", operator.Gearman.Functions[1].Path)
+	_, err = LoadOperator("../../deploy/duties.toml", &settings)
 	require.NoError(t, err)
 	dir := t.TempDir()
 	require.NoError(t, os.WriteFile(filepath.Join(dir, "rules.toml"), []byte("[class.purchase]\nattempts = 2\n"), 0o600))
 	path := filepath.Join(dir, "operator.toml")
 	require.NoError(t, os.WriteFile(path, []byte("[fleet.rules]\nfile = 'rules.toml'\n"), 0o600))
-	op, err = LoadOperator(path, &s)
+	operator, err = LoadOperator(path, &settings)
 	require.NoError(t, err)
-	require.Equal(t, 2, *op.Fleet.Plan(&s, []string{"a"}, 1).Rules.First.Classes["purchase"].Attempts)
+	require.Equal(t, 2, *operator.Fleet.Plan(&settings, []string{"a"}, 1).Rules.First.Classes["purchase"].Attempts)
 	for text, want := range map[string]string{
 		"[class.dance]\nattempts = 2":    "class.dance: the settings have no such class",
 		"[class.purchase]\nattempts = 9": "the settings allow 3",
@@ -82,14 +82,14 @@
 		"[tenant.x]\nallowance = 9.0":    "tenant.x: the settings have no such tenant",
 	} {
 		require.NoError(t, os.WriteFile(filepath.Join(dir, "rules.toml"), []byte(text), 0o600))
-		_, err = LoadOperator(path, &s)
+		_, err = LoadOperator(path, &settings)
 		require.ErrorContains(t, err, want)
 	}
-	none, err := LoadOperator("", &s)
+	none, err := LoadOperator("", &settings)
 	require.NoError(t, err)
 	require.Nil(t, none)
 	for text, want := range map[string]string{
-		"":                                "sets nothing up",
+		"":                                "no section is set",
 		"[gearman]\n":                     "gearman.listen",
 		"[room]\nshare = '25'":            "not a share of 0%",
 		"[room]\nlongest = 100":           ":2: ",
@@ -105,13 +105,13 @@
 		"[fleet.accountant]\n":            "the settings name no tenants",
 		"[fleet.rules]\nfile = 'none'\n":  "no such file",
 		"[[fleet.duty]]\nzone = 'a'":      "has no name",
-		"[gearman]\nlisten = ':1'":        "none is given",
+		"[gearman]\nlisten = ':1'":        "no function is set",
 		"[gearman]\nlisten = ':1'\n[[gearman.function]]\nname = 'f'\nclass = 'dance'":                                  `no class "dance"`,
 		"[gearman]\nlisten = ':1'\n[[gearman.function]]\nname = 'f'\nclass = 'purchase'\n[[gearman.worker]]\nid = 'w'": "needs zone, pod and kind",
 	} {
-		f := filepath.Join(t.TempDir(), "o.toml")
-		require.NoError(t, os.WriteFile(f, []byte(text), 0o600))
-		_, err := LoadOperator(f, &s)
+		file := filepath.Join(t.TempDir(), "o.toml")
+		require.NoError(t, os.WriteFile(file, []byte(text), 0o600))
+		_, err := LoadOperator(file, &settings)
 		require.ErrorContains(t, err, want, text)
 	}
 }
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -16,55 +16,56 @@
 	"cottonwell/internal/units"
 )
 
-// Fleet is the part of the operator's file by which schedulers know who of them lives, and share out
-// duties. docs/DUTIES.md explains the keys; what is left out stands at its default.
+// Fleet is the section [fleet] of the operator's file. It sets up membership among the schedulers and
+// the leases of duties. docs/DUTIES.md explains the keys; a key that is left out has its default.
 type Fleet struct {
-	Voters   *int          `toml:"voters,omitempty"`
-	Lease    *units.Millis `toml:"lease,omitempty"`
-	Quiet    *units.Millis `toml:"quiet,omitempty"`
-	Drift    *units.Share  `toml:"drift,omitempty"`
-	Period   *units.Millis `toml:"period,omitempty"`
-	AnswerIn *units.Millis `toml:"answer_in,omitempty"`
-	Duties   []Duty        `toml:"duty,omitempty"`
-	Examiner *Examiner     `toml:"examiner,omitempty"`
-	// Accountant has one scheduler add up what tenants ask for; docs/DUTIES.md explains its keys, too.
+	Voters          *int          `toml:"voters,omitempty"`
+	Lease           *units.Millis `toml:"lease,omitempty"`
+	Quiet           *units.Millis `toml:"quiet,omitempty"`
+	Drift           *units.Share  `toml:"drift,omitempty"`
+	Period          *units.Millis `toml:"period,omitempty"`
+	ResponseTimeout *units.Millis `toml:"answer_in,omitempty"`
+	Duties          []Duty        `toml:"duty,omitempty"`
+	Examiner        *Examiner     `toml:"examiner,omitempty"`
+	// Accountant makes one scheduler add up the demand of each tenant; docs/DUTIES.md explains its keys, too.
 	Accountant *Accountant `toml:"accountant,omitempty"`
 	Rules      *Rules      `toml:"rules,omitempty"`
 }
 
-// Rules is how the schedulers agree on a document of rules; docs/RULES.md explains it. The duty that goes with
-// it need not be listed.
+// Rules sets up the agreement of the schedulers on a rules document; docs/RULES.md explains it. Its duty is
+// added to the listed ones.
 type Rules struct {
-	File   string        `toml:"file"` // from the operator's file's folder
-	Within *units.Millis `toml:"agree_within,omitempty"`
+	File        string        `toml:"file"` // relative to the directory of the operator's file
+	AgreeWithin *units.Millis `toml:"agree_within,omitempty"`
 
 	doc *rules.Doc
 }
 
-// Load reads the document, which may have changed since.
+// Load reads the rules document and checks it against the settings. Each call reads the file again.
 func (r *Rules) Load(s *balance.Settings) (*rules.Doc, error) {
-	d, err := rules.Load(r.File)
+	doc, err := rules.Load(r.File)
 	if err != nil {
 		return nil, fmt.Errorf("rules: %w", err)
 	}
-	if err := mayRule(s)(d); err != nil {
+	if err := checkRules(s)(doc); err != nil {
 		return nil, fmt.Errorf("rules: %s: %w", r.File, err)
 	}
-	return d, nil
+	return doc, nil
 }
 
-// mayRule says which rules the platform's settings leave room for.
-func mayRule(s *balance.Settings) func(*rules.Doc) error {
-	return func(d *rules.Doc) error {
-		for _, name := range slices.Sorted(maps.Keys(d.Classes)) {
+// checkRules returns a check that rejects rules for unknown classes or tenants, and rules that exceed the
+// platform's settings.
+func checkRules(s *balance.Settings) func(*rules.Doc) error {
+	return func(doc *rules.Doc) error {
+		for _, name := range slices.Sorted(maps.Keys(doc.Classes)) {
 			if !slices.ContainsFunc(s.Classes, func(c balance.Class) bool { return c.Name == name }) {
 				return fmt.Errorf("class.%s: the settings have no such class", name)
 			}
-			if n := d.Classes[name].Attempts; n != nil && *n > s.MaxAttempts {
-				return fmt.Errorf("class.%s.attempts is %d, and the settings allow %d", name, *n, s.MaxAttempts)
+			if attempts := doc.Classes[name].Attempts; attempts != nil && *attempts > s.MaxAttempts {
+				return fmt.Errorf("class.%s.attempts is %d, and the settings allow %d", name, *attempts, s.MaxAttempts)
 			}
 		}
-		for _, name := range slices.Sorted(maps.Keys(d.Tenants)) {
+		for _, name := range slices.Sorted(maps.Keys(doc.Tenants)) {
 			if !slices.ContainsFunc(s.Tenants, func(t balance.Tenant) bool { return t.Name == name }) {
 				return fmt.Errorf("tenant.%s: the settings have no such tenant", name)
 			}
@@ -73,120 +74,124 @@
 	}
 }
 
-func (r *Rules) plan(s *balance.Settings, n int, c *lease.Config) *rules.Config {
-	out := rules.Default()
-	out.Self, out.Fleet, out.Life, out.Seed, out.Drift = s.Self, n, c.Life, c.Seed, c.Drift
-	out.First, out.Check = r.doc, mayRule(s)
-	if out.First == nil { // the file is read by LoadOperator
-		out.First = &rules.Doc{}
+// newConfig returns the configuration of the rules agreement among that number of schedulers.
+func (r *Rules) newConfig(s *balance.Settings, schedulers int, leaseConfig *lease.Config) *rules.Config {
+	cfg := rules.Default()
+	cfg.Self, cfg.Fleet, cfg.Life, cfg.Seed, cfg.Drift = s.Self, schedulers, leaseConfig.Life, leaseConfig.Seed, leaseConfig.Drift
+	cfg.First, cfg.Check = r.doc, checkRules(s)
+	if cfg.First == nil { // only LoadOperator reads the document
+		cfg.First = &rules.Doc{}
 	}
-	for _, x := range s.Classes {
-		out.Classes = append(out.Classes, x.Name)
+	for _, class := range s.Classes {
+		cfg.Classes = append(cfg.Classes, class.Name)
 	}
-	put(map[*float64]*units.Millis{&out.Agree: r.Within})
-	return &out
+	setTimes(map[*float64]*units.Millis{&cfg.Agree: r.AgreeWithin})
+	return &cfg
 }
 
-// Accountant is how what tenants ask for is added up over the fleet. The duty need not be listed.
+// Accountant sets up how the demand of each tenant is added up over the fleet. Its duty is added to the listed ones.
 type Accountant struct {
-	Every *units.Millis `toml:"every,omitempty"`
-	Lasts *units.Millis `toml:"lasts,omitempty"`
+	Interval *units.Millis `toml:"every,omitempty"`
+	ValidFor *units.Millis `toml:"lasts,omitempty"`
 }
 
-func (a *Accountant) plan(s *balance.Settings, n int, life uint32) *shares.Config {
-	c := shares.Default()
-	c.Self, c.Fleet, c.Life = s.Self, n, life
+// newConfig returns the configuration of the tenants' shares among that number of schedulers.
+func (a *Accountant) newConfig(s *balance.Settings, schedulers int, life uint32) *shares.Config {
+	cfg := shares.Default()
+	cfg.Self, cfg.Fleet, cfg.Life = s.Self, schedulers, life
 	for _, t := range s.Tenants {
-		c.Tenants = append(c.Tenants, shares.Tenant{Name: t.Name, Allowance: t.Allowance})
+		cfg.Tenants = append(cfg.Tenants, shares.Tenant{Name: t.Name, Allowance: t.Allowance})
 	}
-	put(map[*float64]*units.Millis{&c.Every: a.Every, &c.Lasts: a.Lasts})
-	return &c
+	setTimes(map[*float64]*units.Millis{&cfg.Every: a.Interval, &cfg.Lasts: a.ValidFor})
+	return &cfg
 }
 
-// Examiner is how one scheduler judges for all whether targets are ill; docs/DUTIES.md explains the keys.
-// The duty that goes with it need not be listed.
+// Examiner sets up how one scheduler decides for the whole fleet whether a target is unhealthy; docs/DUTIES.md
+// explains the keys. Its duty is added to the listed ones.
 type Examiner struct {
-	Tellers *int          `toml:"tellers,omitempty"`
-	Window  *units.Millis `toml:"window,omitempty"`
-	Lasts   *units.Millis `toml:"lasts,omitempty"`
-	Every   *units.Millis `toml:"every,omitempty"`
-	Most    *units.Share  `toml:"most,omitempty"`
+	Reporters *int          `toml:"tellers,omitempty"`
+	Window    *units.Millis `toml:"window,omitempty"`
+	ValidFor  *units.Millis `toml:"lasts,omitempty"`
+	Interval  *units.Millis `toml:"every,omitempty"`
+	MaxShare  *units.Share  `toml:"most,omitempty"`
 }
 
-// put sets those times that the file names.
-func put(times map[*float64]*units.Millis) {
-	for to, x := range times {
-		if x != nil {
-			*to = float64(*x)
+// setTimes sets the times that the file contains, in milliseconds.
+func setTimes(times map[*float64]*units.Millis) {
+	for dest, value := range times {
+		if value != nil {
+			*dest = float64(*value)
 		}
 	}
 }
 
-func (e *Examiner) plan(self, n int) *health.Config {
-	c := health.Default()
-	c.Self, c.Fleet = self, n
-	if e.Tellers != nil {
-		c.Tellers = *e.Tellers
+// newConfig returns the configuration of the targets' health checks among that number of schedulers.
+func (e *Examiner) newConfig(self, schedulers int) *health.Config {
+	cfg := health.Default()
+	cfg.Self, cfg.Fleet = self, schedulers
+	if e.Reporters != nil {
+		cfg.Tellers = *e.Reporters
 	}
-	put(map[*float64]*units.Millis{&c.Window: e.Window, &c.Lasts: e.Lasts, &c.Every: e.Every})
-	if e.Most != nil {
-		c.Most = float64(*e.Most)
+	setTimes(map[*float64]*units.Millis{&cfg.Window: e.Window, &cfg.Lasts: e.ValidFor, &cfg.Every: e.Interval})
+	if e.MaxShare != nil {
+		cfg.Most = float64(*e.MaxShare)
 	}
-	return &c
+	return &cfg
 }
 
-// Duty is one that one scheduler at a time may hold.
+// Duty is a duty that at most one scheduler holds at a time.
 type Duty struct {
 	Name string `toml:"name"`
 	Zone string `toml:"zone,omitempty"`
 }
 
-// Plan is what the fleet's machine is made from, in a tier of the given peers.
+// Plan returns the configuration of the fleet's state machine, for schedulers with the given addresses.
 func (f *Fleet) Plan(s *balance.Settings, peers []string, seed uint64) fleet.Config {
 	self := s.Self
-	c := fleet.Config{Members: members.Default(), Lease: lease.Default(), Addresses: peers}
-	c.Members.Self, c.Members.Fleet, c.Members.Seed = self, len(peers), seed
-	h := fnv.New32a()
-	fmt.Fprintf(h, "life %d", seed) // the seed is new at each start
-	c.Lease.Self, c.Lease.Fleet, c.Lease.Seed, c.Lease.Life = self, len(peers), seed, h.Sum32()
-	c.Lease.Voters = min(c.Lease.Voters, max(1, len(peers)))
+	cfg := fleet.Config{Members: members.Default(), Lease: lease.Default(), Addresses: peers}
+	cfg.Members.Self, cfg.Members.Fleet, cfg.Members.Seed = self, len(peers), seed
+	lifeHash := fnv.New32a()
+	fmt.Fprintf(lifeHash, "life %d", seed) // the seed differs at each start
+	cfg.Lease.Self, cfg.Lease.Fleet, cfg.Lease.Seed, cfg.Lease.Life = self, len(peers), seed, lifeHash.Sum32()
+	cfg.Lease.Voters = min(cfg.Lease.Voters, max(1, len(peers)))
 	if f.Voters != nil {
-		c.Lease.Voters = *f.Voters
+		cfg.Lease.Voters = *f.Voters
 	}
-	put(map[*float64]*units.Millis{&c.Lease.Lease: f.Lease, &c.Lease.Quiet: f.Quiet, &c.Members.Period: f.Period, &c.Members.AnswerIn: f.AnswerIn})
+	setTimes(map[*float64]*units.Millis{&cfg.Lease.Lease: f.Lease, &cfg.Lease.Quiet: f.Quiet, &cfg.Members.Period: f.Period, &cfg.Members.AnswerIn: f.ResponseTimeout})
 	if f.Quiet == nil {
-		c.Lease.Quiet = 1.25 * c.Lease.Lease
+		cfg.Lease.Quiet = 1.25 * cfg.Lease.Lease
 	}
-	if f.AnswerIn == nil {
-		c.Members.AnswerIn = min(c.Members.AnswerIn, 0.3*c.Members.Period)
+	if f.ResponseTimeout == nil {
+		cfg.Members.AnswerIn = min(cfg.Members.AnswerIn, 0.3*cfg.Members.Period)
 	}
 	if f.Drift != nil {
-		c.Lease.Drift = float64(*f.Drift)
+		cfg.Lease.Drift = float64(*f.Drift)
 	}
 	for _, d := range f.Duties {
-		c.Lease.Duties = append(c.Lease.Duties, lease.Duty{Name: d.Name, Zone: d.Zone})
+		cfg.Lease.Duties = append(cfg.Lease.Duties, lease.Duty{Name: d.Name, Zone: d.Zone})
 	}
-	need := func(duty string) {
-		if !slices.ContainsFunc(c.Lease.Duties, func(d lease.Duty) bool { return d.Name == duty }) {
-			c.Lease.Duties = append(c.Lease.Duties, lease.Duty{Name: duty})
+	requireDuty := func(duty string) {
+		if !slices.ContainsFunc(cfg.Lease.Duties, func(d lease.Duty) bool { return d.Name == duty }) {
+			cfg.Lease.Duties = append(cfg.Lease.Duties, lease.Duty{Name: duty})
 		}
 	}
 	if f.Examiner != nil {
-		c.Health = f.Examiner.plan(self, len(peers))
-		need(health.Duty)
+		cfg.Health = f.Examiner.newConfig(self, len(peers))
+		requireDuty(health.Duty)
 	}
 	if f.Accountant != nil {
-		c.Shares = f.Accountant.plan(s, len(peers), c.Lease.Life)
-		need(shares.Duty)
+		cfg.Shares = f.Accountant.newConfig(s, len(peers), cfg.Lease.Life)
+		requireDuty(shares.Duty)
 	}
 	if f.Rules != nil {
-		c.Rules = f.Rules.plan(s, len(peers), &c.Lease)
-		need(rules.Duty)
+		cfg.Rules = f.Rules.newConfig(s, len(peers), &cfg.Lease)
+		requireDuty(rules.Duty)
 	}
-	return c
+	return cfg
 }
 
-// Check says what cannot be, whatever the peers: the rest is seen at the start.
+// Check returns an error if the section is invalid for any addresses of the peers. Values that depend on the
+// peers are checked at the start.
 func (f *Fleet) Check(s *balance.Settings) error {
 	if f.Rules != nil {
 		var err error
@@ -194,8 +199,8 @@
 			return err
 		}
 	}
-	c := f.Plan(s, make([]string, max(1, s.Fleet)), 0)
-	if err := c.Check(); err != nil {
+	cfg := f.Plan(s, make([]string, max(1, s.Fleet)), 0)
+	if err := cfg.Check(); err != nil {
 		return fmt.Errorf("fleet: %w", err)
 	}
 	return nil
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -14,14 +14,14 @@
 	"cottonwell/internal/tomlfile"
 )
 
-// Operator is the operator's file.
+// Operator is the content of the operator's file.
 type Operator struct {
-	Gearman *gearman.Config `toml:"gearman"` // nil: that front is off
-	Room    *Room           `toml:"room"`    // nil: no room is held
-	Fleet   *Fleet          `toml:"fleet"`   // nil: nobody says who lives, and there are no duties
+	Gearman *gearman.Config `toml:"gearman"` // nil if the Gearman front is disabled
+	Room    *Room           `toml:"room"`    // nil if nothing is reserved for large jobs
+	Fleet   *Fleet          `toml:"fleet"`   // nil if there is no membership and there are no duties
 }
 
-// Plan is the planner's configuration, or nil while it is off.
+// Plan returns the planner's configuration, or nil if it is disabled.
 func (o *Operator) Plan() *room.Config {
 	if o == nil || o.Room == nil {
 		return nil
@@ -29,36 +29,36 @@
 	return o.Room.Plan()
 }
 
-// LoadOperator reads the operator's file and checks it against the settings. Without a
-// path it returns nil: the Gearman front is off, and
-// no room is held.
+// LoadOperator reads the operator's file and checks it against the settings. If path is empty it
+// returns nil: the Gearman front, reservations and the fleet are disabled.
 func LoadOperator(path string, s *balance.Settings) (*Operator, error) {
-	o, err := ReadOperator(path)
-	if o == nil || err != nil {
+	operator, err := ReadOperator(path)
+	if operator == nil || err != nil {
 		return nil, err
 	}
-	if err := o.check(s); err != nil {
+	if err := operator.check(s); err != nil {
 		return nil, fmt.Errorf("operator's file %s: %w", path, err)
 	}
-	return o, nil
+	return operator, nil
 }
 
-// ReadOperator reads the operator's file without settings to check it against.
+// ReadOperator reads the operator's file without checking it against settings.
 func ReadOperator(path string) (*Operator, error) {
 	if path == "" {
 		return nil, nil
 	}
-	o := &Operator{}
-	if err := tomlfile.Load(path, o); err != nil {
+	operator := &Operator{}
+	if err := tomlfile.Load(path, operator); err != nil {
 		return nil, fmt.Errorf("operator's file %w", err)
 	}
-	if o.Fleet != nil && o.Fleet.Rules != nil && !filepath.IsAbs(o.Fleet.Rules.File) {
-		o.Fleet.Rules.File = filepath.Join(filepath.Dir(path), o.Fleet.Rules.File)
+	if operator.Fleet != nil && operator.Fleet.Rules != nil && !filepath.IsAbs(operator.Fleet.Rules.File) {
+		operator.Fleet.Rules.File = filepath.Join(filepath.Dir(path), operator.Fleet.Rules.File)
 	}
-	return o, nil
+	return operator, nil
 }
 
-// check says what cannot be, and fills in what may be left out.
+// check returns an error if the file is invalid with these settings. It fills in the defaults of
+// the Gearman section.
 func (o *Operator) check(s *balance.Settings) error {
 	if o.Room != nil {
 		if err := o.Room.check(s); err != nil {
@@ -70,34 +70,34 @@
 			return err
 		}
 	}
-	g := o.Gearman
-	if g == nil && o.Room == nil && o.Fleet == nil {
-		return fmt.Errorf("it sets nothing up: none of [gearman], [room] and [fleet] is there")
+	gearmanConfig := o.Gearman
+	if gearmanConfig == nil && o.Room == nil && o.Fleet == nil {
+		return fmt.Errorf("no section is set: it needs one of [gearman], [room] and [fleet]")
 	}
-	if g == nil {
+	if gearmanConfig == nil {
 		return nil
 	}
-	if _, _, err := net.SplitHostPort(g.Listen); err != nil {
+	if _, _, err := net.SplitHostPort(gearmanConfig.Listen); err != nil {
 		return fmt.Errorf("gearman.listen: %w", err)
 	}
-	if g.Connections < 0 {
-		return fmt.Errorf("gearman.connections is %d", g.Connections)
+	if gearmanConfig.Connections < 0 {
+		return fmt.Errorf("gearman.connections is %d, and may not be negative", gearmanConfig.Connections)
 	}
-	if g.Connections == 0 {
-		g.Connections = 128
+	if gearmanConfig.Connections == 0 {
+		gearmanConfig.Connections = 128
 	}
-	if len(g.Functions) == 0 {
-		return fmt.Errorf("gearman.function: none is given")
+	if len(gearmanConfig.Functions) == 0 {
+		return fmt.Errorf("gearman.function: no function is set")
 	}
-	for i := range g.Functions {
-		f := &g.Functions[i]
-		c := slices.IndexFunc(s.Classes, func(c balance.Class) bool { return c.Name == f.Class })
+	for i := range gearmanConfig.Functions {
+		f := &gearmanConfig.Functions[i]
+		classIndex := slices.IndexFunc(s.Classes, func(c balance.Class) bool { return c.Name == f.Class })
 		switch {
 		case f.Name == "" || strings.ContainsAny(f.Name, "\x00 \t\n"):
-			return fmt.Errorf("gearman.function %d has the impossible name %q", i+1, f.Name)
-		case slices.ContainsFunc(g.Functions[:i], func(x gearman.Function) bool { return x.Name == f.Name }):
-			return fmt.Errorf("gearman.function %q is there twice", f.Name)
-		case c < 0:
+			return fmt.Errorf("gearman.function %d has the invalid name %q", i+1, f.Name)
+		case slices.ContainsFunc(gearmanConfig.Functions[:i], func(x gearman.Function) bool { return x.Name == f.Name }):
+			return fmt.Errorf("gearman.function %q is defined twice", f.Name)
+		case classIndex < 0:
 			return fmt.Errorf("gearman.function %q: the settings have no class %q", f.Name, f.Class)
 		case f.Patience < 0 || f.Slots < 0:
 			return fmt.Errorf("gearman.function %q: patience_ms or slots is negative", f.Name)
@@ -105,7 +105,7 @@
 			return fmt.Errorf("gearman.function %q: path does not begin with a slash", f.Name)
 		}
 		if f.Patience == 0 {
-			f.Patience = clock.Millis(s.Classes[c].Deadline)
+			f.Patience = clock.Millis(s.Classes[classIndex].Deadline)
 		}
 		if f.Slots == 0 {
 			f.Slots = 1
@@ -113,14 +113,14 @@
 		if f.Path == "" {
 			f.Path = "/" + f.Class
 		}
-		f.Keyed = s.Classes[c].Effect == balance.Keyed
+		f.Keyed = s.Classes[classIndex].Effect == balance.Keyed
 	}
-	for i, w := range g.Workers {
+	for i, w := range gearmanConfig.Workers {
 		switch {
 		case w.ID == "" || strings.ContainsAny(w.ID, "\x00 \t\n"):
-			return fmt.Errorf("gearman.worker %d has the impossible id %q", i+1, w.ID)
-		case slices.ContainsFunc(g.Workers[:i], func(x gearman.Worker) bool { return x.ID == w.ID }):
-			return fmt.Errorf("gearman.worker %q is there twice", w.ID)
+			return fmt.Errorf("gearman.worker %d has the invalid id %q", i+1, w.ID)
+		case slices.ContainsFunc(gearmanConfig.Workers[:i], func(x gearman.Worker) bool { return x.ID == w.ID }):
+			return fmt.Errorf("gearman.worker %q is defined twice", w.ID)
 		case w.Zone == "" || w.Pod == "" || w.Kind == "":
 			return fmt.Errorf("gearman.worker %q needs zone, pod and kind", w.ID)
 		}
--- a/internal/config/room.go
+++ b/internal/config/room.go
@@ -8,46 +8,48 @@
 	"cottonwell/internal/units"
 )
 
-// Room is the part of the operator's file that sets held room up. docs/ROOM.md explains the
-// keys; what is left out stands at its default.
+// Room is the section [room] of the operator's file. It sets up reservations for large jobs.
+// docs/ROOM.md explains the keys; a key that is left out has its default.
 type Room struct {
 	Mode        string        `toml:"mode,omitempty"`
-	Large       *float64      `toml:"large_slots,omitempty"`
+	LargeSlots  *float64      `toml:"large_slots,omitempty"`
 	Share       *units.Share  `toml:"share,omitempty"`
 	TenantShare *units.Share  `toml:"tenant_share,omitempty"`
-	Longest     *units.Millis `toml:"longest,omitempty"`
+	MaxDuration *units.Millis `toml:"longest,omitempty"`
 	Confidence  *units.Share  `toml:"confidence,omitempty"`
 	SmallDrop   *units.Share  `toml:"small_drop,omitempty"`
 }
 
 var roomModes = map[string]room.Mode{"": room.Backfill, "backfill": room.Backfill, "no-backfill": room.NoBackfill, "emptying": room.Emptying}
 
-// Plan is what the planner is made from; classes and numbers come from the settings.
+// Plan returns the planner's configuration without the classes and the scheduler's number, which
+// come from the settings.
 func (r *Room) Plan() *room.Config {
-	c := room.Default()
-	c.Mode = roomModes[r.Mode]
-	if r.Large != nil {
-		c.Large = *r.Large
+	cfg := room.Default()
+	cfg.Mode = roomModes[r.Mode]
+	if r.LargeSlots != nil {
+		cfg.Large = *r.LargeSlots
 	}
-	if r.Longest != nil {
-		c.Longest = float64(*r.Longest)
+	if r.MaxDuration != nil {
+		cfg.Longest = float64(*r.MaxDuration)
 	}
-	for to, x := range map[*float64]*units.Share{&c.Share: r.Share, &c.TenantShare: r.TenantShare, &c.Confidence: r.Confidence, &c.SmallDrop: r.SmallDrop} {
-		if x != nil {
-			*to = float64(*x)
+	for dest, share := range map[*float64]*units.Share{&cfg.Share: r.Share, &cfg.TenantShare: r.TenantShare, &cfg.Confidence: r.Confidence, &cfg.SmallDrop: r.SmallDrop} {
+		if share != nil {
+			*dest = float64(*share)
 		}
 	}
-	return &c
+	return &cfg
 }
 
+// check returns an error if the section is invalid with these settings.
 func (r *Room) check(s *balance.Settings) error {
 	if _, ok := roomModes[r.Mode]; !ok {
 		return fmt.Errorf("room.mode is %q, and may be backfill, no-backfill or emptying", r.Mode)
 	}
-	c := r.Plan()
-	c.Self, c.Fleet = s.Self, s.Fleet
-	for _, x := range s.Classes {
-		c.Classes = append(c.Classes, x.Name)
+	cfg := r.Plan()
+	cfg.Self, cfg.Fleet = s.Self, s.Fleet
+	for _, class := range s.Classes {
+		cfg.Classes = append(cfg.Classes, class.Name)
 	}
-	return c.Check()
+	return cfg.Check()
 }
