--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,7 @@
-// Package wire parses and prints the line protocol between a host process and
-// the dispatchers it hosts. It makes no decision.
+// Package wire implements the simulator's line protocol between the simulator and a host process.
+// Reader is given the simulator's input and returns one Item for each message of a batch. Writer is
+// given the actions of the hosted dispatchers and prints the reply to a batch. The package checks the
+// form of messages and batches. It makes no decisions and keeps no state of the dispatchers.
 package wire
 
 import (
@@ -15,24 +17,24 @@
 	"cottonwell/balance"
 )
 
-// Kind tells what a line, or a group of lines, of a batch says.
+// Kind is the kind of an Item.
 type Kind int
 
-// The kinds of items.
+// The kinds of items, each with the fields that it sets.
 const (
 	Open  Kind = iota // a batch begins: Now, Seq
-	Close             // it ends
-	Start             // an instance starts: Instance, Seed, Settings
+	Close             // a batch ends
+	Start             // a dispatcher instance starts: Instance, Seed, Settings
 	Stop              // an instance was killed: Instance
-	Page              // a numbered list: Buffer, Members
-	List              // an instance is told a list: Instance, Buffer, Event.List
-	Event             // anything else for an instance: Instance, Event
+	Page              // the content of a list buffer: Buffer, Members
+	List              // an instance receives the list in a buffer: Instance, Buffer, Event.List
+	Event             // any other event of an instance: Instance, Event
 )
 
-// Item is one thing read from the wire.
+// Item is one message of the wire; a Page includes its member lines.
 type Item struct {
 	Kind     Kind
-	Line     int // where it was read, counted from 1
+	Line     int // first line of the message, counted from 1
 	Now      time.Duration
 	Seq      uint64
 	Instance int
@@ -43,68 +45,72 @@
 	Event    balance.Event
 }
 
-// Reader reads items.
+// Reader parses the messages of the wire into items.
 type Reader struct {
-	in     *bufio.Reader
-	line   int
-	inside bool
+	input       *bufio.Reader
+	line        int
+	insideBatch bool
 }
 
-// NewReader reads the wire from r.
+// NewReader returns a reader of the wire that reads from r.
 func NewReader(r io.Reader) *Reader {
-	return &Reader{in: bufio.NewReaderSize(r, 1<<18)}
+	return &Reader{input: bufio.NewReaderSize(r, 1<<18)}
 }
 
-// next returns the next line without its end; empty lines outside a batch are passed over.
-func (r *Reader) next() (string, error) {
+// nextLine returns the next line without its line ending. It skips empty lines outside a batch.
+func (r *Reader) nextLine() (string, error) {
 	for {
-		s, err := r.in.ReadString('\n')
+		line, err := r.input.ReadString('\n')
 		if err != nil {
-			if errors.Is(err, io.EOF) && !r.inside && strings.TrimSpace(s) == "" {
+			if errors.Is(err, io.EOF) && !r.insideBatch && strings.TrimSpace(line) == "" {
 				return "", io.EOF
 			}
 			if errors.Is(err, io.EOF) {
-				return "", fmt.Errorf("line %d: input ends inside a batch: %q", r.line+1, s)
+				return "", fmt.Errorf("line %d: input ends inside a batch: %q", r.line+1, line)
 			}
 			return "", fmt.Errorf("line %d: %w", r.line+1, err)
 		}
 		r.line++
-		s = strings.TrimRight(s, "\r\n")
-		if s != "" || r.inside {
-			return s, nil
+		line = strings.TrimRight(line, "\r\n")
+		if line != "" || r.insideBatch {
+			return line, nil
 		}
 	}
 }
 
 // Next returns the next item, io.EOF after the last batch, or an error that names the line.
 func (r *Reader) Next() (Item, error) {
-	s, err := r.next()
+	text, err := r.nextLine()
 	if err != nil {
 		return Item{}, err
 	}
 	line := r.line
-	it, err := r.parse(s)
-	it.Line = line
+	item, err := r.parse(text)
+	item.Line = line
 	if err != nil {
-		return Item{}, fmt.Errorf("line %d: %w: %q", line, err, clip(s))
+		return Item{}, fmt.Errorf("line %d: %w: %q", line, err, truncate(text))
 	}
-	return it, nil
+	return item, nil
 }
 
-func clip(s string) string {
+// truncate limits a line to 200 bytes, for error texts.
+func truncate(s string) string {
 	if len(s) > 200 {
 		return s[:200] + "..."
 	}
 	return s
 }
 
-// fields walks over the name=value parts of a line and keeps the first error.
+// fields iterates over the name=value parts of a line. It keeps the first error, and the
+// required fields that were present as a bit mask.
 type fields struct {
 	rest, name, value string
-	seen              uint
+	present           uint
 	err               error
 }
 
+// next parses the next part into name and value. It returns false at the end of the line and
+// after an error.
 func (f *fields) next() bool {
 	if f.rest == "" || f.err != nil {
 		return false
@@ -128,9 +134,10 @@
 	return true
 }
 
-func (f *fields) fail(what string) {
+// fail records that the value of the current field is not what is wanted.
+func (f *fields) fail(want string) {
 	if f.err == nil {
-		f.err = fmt.Errorf("%s is not %s", f.name, what)
+		f.err = fmt.Errorf("%s is not %s", f.name, want)
 	}
 }
 
@@ -165,7 +172,8 @@
 	return f.value == "1"
 }
 
-func (f *fields) span() time.Duration {
+// duration parses a time in microseconds.
+func (f *fields) duration() time.Duration {
 	n := f.int()
 	if n > 1<<53 || n < -(1<<53) {
 		f.fail("a time within range")
@@ -174,7 +182,7 @@
 	return time.Duration(n) * time.Microsecond
 }
 
-// The fields that a message cannot do without.
+// The bits of the fields that some message requires.
 const (
 	hasInstance uint = 1 << iota
 	hasRequest
@@ -195,32 +203,34 @@
 	hasWho
 )
 
-func (f *fields) need(mask uint) error {
+// require returns the first error of the line, or an error if a required field is missing.
+func (f *fields) require(required uint) error {
 	if f.err != nil {
 		return f.err
 	}
-	if f.seen&mask != mask {
+	if f.present&required != required {
 		return errors.New("a field is missing")
 	}
 	return nil
 }
 
-func (r *Reader) parse(s string) (Item, error) {
-	tag, rest, _ := strings.Cut(s, " ")
+// parse parses one message. For a PAGE it also reads the lines of its members.
+func (r *Reader) parse(line string) (Item, error) {
+	tag, rest, _ := strings.Cut(line, " ")
 	f := &fields{rest: rest}
 	if tag == "FRAME" {
-		if r.inside {
+		if r.insideBatch {
 			return Item{}, errors.New("a batch inside a batch")
 		}
-		r.inside = true
+		r.insideBatch = true
 		return parseFrame(f)
 	}
-	if !r.inside {
+	if !r.insideBatch {
 		return Item{}, errors.New("a message outside a batch")
 	}
 	switch tag {
 	case "END":
-		r.inside = false
+		r.insideBatch = false
 		return Item{Kind: Close}, nil
 	case "SPAWN":
 		return parseStart(f)
@@ -229,9 +239,9 @@
 	case "ANNOUNCE":
 		return parseList(f)
 	case "CRASH_NOW":
-		it, err := parseEvent(f, balance.Event{}, hasInstance)
-		it.Kind = Stop
-		return it, err
+		item, err := parseEvent(f, balance.Event{}, hasInstance)
+		item.Kind = Stop
+		return item, err
 	case "REQUEST":
 		return parseEvent(f, balance.Event{Kind: balance.Arrived}, hasInstance|hasRequest|hasClass|hasBudget)
 	case "VANISHED":
@@ -255,181 +265,181 @@
 }
 
 func parseFrame(f *fields) (Item, error) {
-	it := Item{Kind: Open}
+	item := Item{Kind: Open}
 	for f.next() {
 		switch f.name {
 		case "sim-time-us":
-			it.Now, f.seen = f.span(), f.seen|hasNow
+			item.Now, f.present = f.duration(), f.present|hasNow
 		case "seq":
-			it.Seq, f.seen = f.uint(), f.seen|hasSeq
+			item.Seq, f.present = f.uint(), f.present|hasSeq
 		}
 	}
-	return it, f.need(hasNow | hasSeq)
+	return item, f.require(hasNow | hasSeq)
 }
 
 func parseList(f *fields) (Item, error) {
-	it := Item{Kind: List}
+	item := Item{Kind: List}
 	for f.next() {
 		switch f.name {
 		case "dispatcher":
-			it.Instance, f.seen = int(f.int()), f.seen|hasInstance
+			item.Instance, f.present = int(f.int()), f.present|hasInstance
 		case "buffer":
-			it.Buffer, f.seen = int(f.int()), f.seen|hasBuffer
-			if it.Buffer < 0 || it.Buffer > 15 {
+			item.Buffer, f.present = int(f.int()), f.present|hasBuffer
+			if item.Buffer < 0 || item.Buffer > 15 {
 				f.fail("a list number")
 			}
 		case "scope":
-			f.seen |= hasScope
+			f.present |= hasScope
 			switch f.value {
 			case "diff":
-				it.Event.List = balance.Changes
+				item.Event.List = balance.Changes
 			case "snapshot":
-				it.Event.List = balance.Whole
+				item.Event.List = balance.Whole
 			case "disk":
-				it.Event.List = balance.FromDisk
+				item.Event.List = balance.FromDisk
 			case "error":
-				it.Event.List = balance.AskFailed
+				item.Event.List = balance.AskFailed
 			default:
 				f.fail("a known scope")
 			}
 		}
 	}
-	it.Event.Kind = balance.Listed
-	if it.Event.List != balance.AskFailed {
-		return it, f.need(hasInstance | hasScope | hasBuffer)
+	item.Event.Kind = balance.Listed
+	if item.Event.List != balance.AskFailed {
+		return item, f.require(hasInstance | hasScope | hasBuffer)
 	}
-	return it, f.need(hasInstance | hasScope)
+	return item, f.require(hasInstance | hasScope)
 }
 
 func (r *Reader) parsePage(f *fields) (Item, error) {
-	it := Item{Kind: Page}
+	item := Item{Kind: Page}
 	count := int64(0)
 	for f.next() {
 		switch f.name {
 		case "buffer":
-			it.Buffer, f.seen = int(f.int()), f.seen|hasBuffer
-			if it.Buffer < 0 || it.Buffer > 15 {
+			item.Buffer, f.present = int(f.int()), f.present|hasBuffer
+			if item.Buffer < 0 || item.Buffer > 15 {
 				f.fail("a list number")
 			}
 		case "items":
-			count, f.seen = f.int(), f.seen|hasItems
+			count, f.present = f.int(), f.present|hasItems
 			if count < 0 || count > 1<<20 {
 				f.fail("a number of entries")
 			}
 		}
 	}
-	if err := f.need(hasBuffer | hasItems); err != nil {
-		return it, err
+	if err := f.require(hasBuffer | hasItems); err != nil {
+		return item, err
 	}
 	for ; count > 0; count-- {
-		s, err := r.next()
+		line, err := r.nextLine()
 		if err != nil {
-			return it, err
+			return item, err
 		}
-		m, err := parseMember(s)
+		member, err := parseMember(line)
 		if err != nil {
-			return it, fmt.Errorf("line %d, an entry of the list: %w: %q", r.line, err, clip(s))
+			return item, fmt.Errorf("line %d, an entry of the list: %w: %q", r.line, err, truncate(line))
 		}
-		it.Members = append(it.Members, m)
+		item.Members = append(item.Members, member)
 	}
-	return it, nil
+	return item, nil
 }
 
-func parseMember(s string) (balance.Member, error) {
-	m := balance.Member{Weight: 1}
-	tag, rest, _ := strings.Cut(strings.Clone(s), " ")
+func parseMember(line string) (balance.Member, error) {
+	member := balance.Member{Weight: 1}
+	tag, rest, _ := strings.Cut(strings.Clone(line), " ")
 	if tag != "M" {
-		return m, errors.New("not an entry")
+		return member, errors.New("not an entry")
 	}
 	f := &fields{rest: rest}
 	for f.next() {
 		switch f.name {
 		case "runner":
-			m.ID, f.seen = f.value, f.seen|hasRunner
+			member.ID, f.present = f.value, f.present|hasRunner
 		case "region-part":
-			m.Zone = f.value
+			member.Zone = f.value
 		case "sku":
-			m.Kind = f.value
+			member.Kind = f.value
 		case "cell":
-			m.Cell = f.value
+			member.Cell = f.value
 		case "mode":
-			f.seen |= hasMode
+			f.present |= hasMode
 			switch f.value {
 			case "IN":
-				m.State = balance.Ready
+				member.State = balance.Ready
 			case "LAME":
-				m.State = balance.Draining
+				member.State = balance.Draining
 			case "OUT":
-				m.State = balance.Gone
+				member.State = balance.Gone
 			default:
 				f.fail("a known mode")
 			}
 		case "share":
-			m.Weight = f.float()
+			member.Weight = f.float()
 		case "started-at-us":
-			m.Started = f.span()
+			member.Started = f.duration()
 		}
 	}
-	return m, f.need(hasRunner | hasMode)
+	return member, f.require(hasRunner | hasMode)
 }
 
-func parseEvent(f *fields, ev balance.Event, need uint) (Item, error) {
-	it := Item{Kind: Event}
-	ev.Slots = 1
+func parseEvent(f *fields, event balance.Event, required uint) (Item, error) {
+	item := Item{Kind: Event}
+	event.Slots = 1
 	for f.next() {
 		switch f.name {
 		case "dispatcher":
-			it.Instance, f.seen = int(f.int()), f.seen|hasInstance
+			item.Instance, f.present = int(f.int()), f.present|hasInstance
 		case "corr":
-			ev.Request, f.seen = f.uint(), f.seen|hasRequest
+			event.Request, f.present = f.uint(), f.present|hasRequest
 		case "runner":
-			ev.Worker, f.seen = f.value, f.seen|hasRunner
+			event.Worker, f.present = f.value, f.present|hasRunner
 		case "attempt":
-			ev.Attempt, f.seen = int(f.int()), f.seen|hasAttempt
+			event.Attempt, f.present = int(f.int()), f.present|hasAttempt
 		case "ending":
-			ev.Result, f.seen = parseResult(f), f.seen|hasEnding
+			event.Result, f.present = parseResult(f), f.present|hasEnding
 		case "wait-time-us":
-			ev.Elapsed = f.span()
+			event.Elapsed = f.duration()
 		case "complete":
-			ev.Final = f.bool()
+			event.Final = f.bool()
 		case "load":
-			ev.Report = parseReport(f)
+			event.Report = parseReport(f)
 		case "class":
-			ev.Class, f.seen = f.value, f.seen|hasClass
+			event.Class, f.present = f.value, f.present|hasClass
 		case "key":
-			ev.Key = f.value
+			event.Key = f.value
 		case "time-budget-us":
-			ev.Budget, f.seen = f.span(), f.seen|hasBudget
+			event.Budget, f.present = f.duration(), f.present|hasBudget
 		case "work-hint-us":
-			ev.Hint = f.span()
+			event.Hint = f.duration()
 		case "slots":
-			ev.Slots = f.float()
+			event.Slots = f.float()
 		case "account":
-			ev.Tenant = f.value
+			event.Tenant = f.value
 		case "ram-units":
-			ev.Memory = f.float()
+			event.Memory = f.float()
 		case "resent":
-			ev.Repeat = f.bool()
+			event.Repeat = f.bool()
 		case "what":
-			ev.Started, f.seen = f.int() == 1, f.seen|hasWhat
+			event.Started, f.present = f.int() == 1, f.present|hasWhat
 		case "x":
-			ev.Fraction = f.float()
+			event.Fraction = f.float()
 		case "who":
-			ev.Who, f.seen = int(f.int()), f.seen|hasWho
+			event.Who, f.present = int(f.int()), f.present|hasWho
 		case "raw":
 			if f.value != "-" {
 				raw, err := hex.DecodeString(f.value)
 				if err != nil {
 					f.fail("hex digits")
 				}
-				ev.Raw = string(raw)
+				event.Raw = string(raw)
 			}
 		case "key-back":
-			ev.Timer, f.seen = f.uint(), f.seen|hasTimer
+			event.Timer, f.present = f.uint(), f.present|hasTimer
 		}
 	}
-	it.Event = ev
-	return it, f.need(need)
+	item.Event = event
+	return item, f.require(required)
 }
 
 func parseResult(f *fields) balance.Result {
@@ -456,7 +466,7 @@
 }
 
 func parseReport(f *fields) balance.Report {
-	rep := balance.Report{Present: true, InFlight: -1, Waiting: -1, Free: -1}
+	report := balance.Report{Present: true, InFlight: -1, Waiting: -1, Free: -1}
 	rest := f.value
 	for rest != "" {
 		var part string
@@ -465,121 +475,123 @@
 		x, err := strconv.ParseFloat(value, 64)
 		if !ok || err != nil || x != x || x > 1e18 || x < -1e18 {
 			f.fail("a load report")
-			return rep
+			return report
 		}
 		switch name {
 		case "active":
-			rep.InFlight = max(x, 0)
+			report.InFlight = max(x, 0)
 		case "waiting":
-			rep.Waiting = max(x, 0)
+			report.Waiting = max(x, 0)
 		case "x0":
-			rep.Free = max(x, 0)
+			report.Free = max(x, 0)
 		case "x1":
-			rep.Memory = max(x, 0.001) // 0 would say that none is reported
+			report.Memory = max(x, 0.001) // 0 would mean that no memory is reported
 		}
 	}
-	return rep
+	return report
 }
 
-// Writer prints replies.
+// Writer prints the replies to batches.
 type Writer struct {
-	out *bufio.Writer
-	buf []byte
+	out   *bufio.Writer
+	reply []byte
 }
 
-// NewWriter prints to w.
+// NewWriter returns a writer of replies that prints to w.
 func NewWriter(w io.Writer) *Writer {
 	return &Writer{out: bufio.NewWriterSize(w, 1<<16)}
 }
 
-// Close ends a reply and flushes it.
+// Close ends the reply to the batch with that seq and flushes it.
 func (w *Writer) Close(seq uint64) error {
-	w.buf = strconv.AppendUint(append(w.buf, "YIELD seq="...), seq, 10)
-	w.buf = append(w.buf, '\n')
-	_, err := w.out.Write(w.buf)
-	w.buf = w.buf[:0]
+	w.reply = strconv.AppendUint(append(w.reply, "YIELD seq="...), seq, 10)
+	w.reply = append(w.reply, '\n')
+	_, err := w.out.Write(w.reply)
+	w.reply = w.reply[:0]
 	if err != nil {
 		return err
 	}
 	return w.out.Flush()
 }
 
-// Panic reports that the decisions of an instance have failed.
+// Panic reports that the decision module of an instance has panicked.
 func (w *Writer) Panic(instance int, reason string) {
-	w.head("PANIC", instance)
-	w.buf = append(w.buf, " reason-text="...)
-	w.buf = append(w.buf, oneLine(reason)...)
-	w.buf = append(w.buf, '\n')
+	w.beginLine("PANIC", instance)
+	w.reply = append(w.reply, " reason-text="...)
+	w.reply = append(w.reply, oneLine(reason)...)
+	w.reply = append(w.reply, '\n')
 }
 
+// oneLine replaces each run of white space with one space, so that a text fits on one line.
 func oneLine(s string) string { return strings.Join(strings.Fields(s), " ") }
 
-func (w *Writer) head(tag string, instance int) {
-	w.buf = append(append(w.buf, tag...), " dispatcher="...)
-	w.buf = strconv.AppendInt(w.buf, int64(instance), 10)
+// beginLine begins a line with its tag and the dispatcher's number.
+func (w *Writer) beginLine(tag string, instance int) {
+	w.reply = append(append(w.reply, tag...), " dispatcher="...)
+	w.reply = strconv.AppendInt(w.reply, int64(instance), 10)
 }
 
-func (w *Writer) num(name string, n int64) {
-	w.buf = append(append(append(w.buf, ' '), name...), '=')
-	w.buf = strconv.AppendInt(w.buf, n, 10)
+func (w *Writer) intField(name string, n int64) {
+	w.reply = append(append(append(w.reply, ' '), name...), '=')
+	w.reply = strconv.AppendInt(w.reply, n, 10)
 }
 
-func (w *Writer) word(name, s string) {
-	w.buf = append(append(append(append(w.buf, ' '), name...), '='), s...)
+func (w *Writer) textField(name, s string) {
+	w.reply = append(append(append(append(w.reply, ' '), name...), '='), s...)
 }
 
 // Action prints one action of an instance.
-func (w *Writer) Action(instance int, a *balance.Action) {
-	switch a.Kind {
+func (w *Writer) Action(instance int, action *balance.Action) {
+	switch action.Kind {
 	case balance.Send:
-		w.head("SEND", instance)
-		w.num("corr", int64(a.Request))
-		w.word("runner", a.Worker)
-		if a.After > 0 {
-			w.num("cap-us", a.After.Microseconds())
+		w.beginLine("SEND", instance)
+		w.intField("corr", int64(action.Request))
+		w.textField("runner", action.Worker)
+		if action.After > 0 {
+			w.intField("cap-us", action.After.Microseconds())
 		}
 	case balance.Refuse:
-		w.head("DENY", instance)
-		w.num("corr", int64(a.Request))
-		if a.After > 0 {
-			w.num("retry-in-us", a.After.Microseconds())
+		w.beginLine("DENY", instance)
+		w.intField("corr", int64(action.Request))
+		if action.After > 0 {
+			w.intField("retry-in-us", action.After.Microseconds())
 		}
 	case balance.Fail:
-		w.head("GIVE_UP", instance)
-		w.num("corr", int64(a.Request))
+		w.beginLine("GIVE_UP", instance)
+		w.intField("corr", int64(action.Request))
 	case balance.Cancel:
-		w.head("CALL_OFF", instance)
-		w.num("corr", int64(a.Request))
-		w.num("attempt", int64(a.Attempt))
+		w.beginLine("CALL_OFF", instance)
+		w.intField("corr", int64(action.Request))
+		w.intField("attempt", int64(action.Attempt))
 	case balance.Wake:
-		w.head("REMIND", instance)
-		w.num("after-us", a.After.Microseconds())
-		w.num("key-back", int64(a.Timer))
+		w.beginLine("REMIND", instance)
+		w.intField("after-us", action.After.Microseconds())
+		w.intField("key-back", int64(action.Timer))
 	case balance.Probe:
-		w.head("PING", instance)
-		w.word("runner", a.Worker)
+		w.beginLine("PING", instance)
+		w.textField("runner", action.Worker)
 	case balance.Subscribe:
-		w.head("WATCH", instance)
-		w.num("enable", 1)
+		w.beginLine("WATCH", instance)
+		w.intField("enable", 1)
 	case balance.Tell:
-		to := []string{"*"}
-		if a.To != nil {
-			to = to[:0]
+		peers := []string{"*"}
+		if action.To != nil {
+			peers = peers[:0]
 		}
-		for _, n := range a.To {
-			to = append(to, strconv.Itoa(n))
+		for _, n := range action.To {
+			peers = append(peers, strconv.Itoa(n))
 		}
-		for i, peer := range to {
+		for i, peer := range peers {
 			if i > 0 {
-				w.buf = append(w.buf, '\n')
+				w.reply = append(w.reply, '\n')
 			}
-			w.head("WRITE_PEER", instance)
-			w.word("peer", peer)
-			w.word("raw", hex.EncodeToString([]byte(a.Raw)))
+			w.beginLine("WRITE_PEER", instance)
+			w.textField("peer", peer)
+			w.textField("raw", hex.EncodeToString([]byte(action.Raw)))
 		}
 	case balance.Say:
-		w.head("LOG", instance)
-		w.word("reason-text", oneLine(a.Text))
+		w.beginLine("LOG", instance)
+		w.textField("reason-text", oneLine(action.Text))
 	}
-	w.buf = append(w.buf, '\n')
+	w.reply = append(w.reply, '\n')
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -12,21 +12,21 @@
 )
 
 func readAll(text string) ([]Item, error) {
-	r := NewReader(strings.NewReader(text))
+	reader := NewReader(strings.NewReader(text))
 	var items []Item
 	for {
-		it, err := r.Next()
+		item, err := reader.Next()
 		if errors.Is(err, io.EOF) {
 			return items, nil
 		}
 		if err != nil {
 			return items, err
 		}
-		items = append(items, it)
+		items = append(items, item)
 	}
 }
 
-const spawn = "SPAWN dispatcher=3 rng-seed=9 classes.count=2 classes.0.name=a classes.0.semantics=safe " +
+const spawnMessage = "SPAWN dispatcher=3 rng-seed=9 classes.count=2 classes.0.name=a classes.0.semantics=safe " +
 	"classes.0.aim-us=100000 classes.0.deadline-us=5000000 classes.0.worth=12.0 classes.1.name=b " +
 	"classes.1.semantics=keyed classes.1.key-scope=zone classes.1.memory-span-us=7500000 " +
 	"classes.1.deadline-us=900000 family-info.class-stretch=2.0,1.75 family-info.class-kind=-1,1 kinds=big,small " +
@@ -36,8 +36,8 @@
 	"tenants.0.name=t tenants.0.allowance-per-s=7.5 tenants.0.share=1 over-share-worth=0.2 client-habits.marks-retry=true " +
 	"prices.origin=0.15 score-parts.worst-tenant=0.25 rules.cold-from=0.44 tick-us=5000 later.key=x\n"
 
-func TestReadsEveryMessage(t *testing.T) {
-	text := "FRAME sim-time-us=8412250 seq=12 later=1\n" + spawn +
+func TestReaderReadsEveryMessage(t *testing.T) {
+	text := "FRAME sim-time-us=8412250 seq=12 later=1\n" + spawnMessage +
 		"PAGE buffer=2 items=2\n" +
 		"M runner=10.0.0.7:1 region-part=z sku=big cell=4 mode=IN share=1.5 started-at-us=61\n" +
 		"M runner=10.0.0.8:1 mode=LAME\n" +
@@ -95,24 +95,24 @@
 			t.Errorf("item %d:\n got %+v\nwant %+v", i, items[i], want[i])
 		}
 	}
-	s := items[1].Settings
-	if items[1].Seed != 9 || len(s.Classes) != 2 || s.MaxAttempts != 5 || !s.Duplicates || !s.Subscribe ||
-		!s.ReportsFree || s.ColdFrom != 0.44 || s.Tick != 5*time.Millisecond {
-		t.Errorf("settings %+v", s)
+	settings := items[1].Settings
+	if items[1].Seed != 9 || len(settings.Classes) != 2 || settings.MaxAttempts != 5 || !settings.Duplicates || !settings.Subscribe ||
+		!settings.ReportsFree || settings.ColdFrom != 0.44 || settings.Tick != 5*time.Millisecond {
+		t.Errorf("settings %+v", settings)
 	}
-	if s.ExtraFree != 10 || s.ExtraRatio != 0.1 || s.ExtraWindow != 2*time.Second || !s.FullMayHaveRun ||
-		s.OrderRest != 50*time.Millisecond || !s.MarksRepeat || s.Prices.Fetch != 0.15 ||
-		!s.Classes[1].InOrder || s.Classes[0].InOrder {
-		t.Errorf("further rules or tenants: %+v", s)
+	if settings.ExtraFree != 10 || settings.ExtraRatio != 0.1 || settings.ExtraWindow != 2*time.Second || !settings.FullMayHaveRun ||
+		settings.OrderRest != 50*time.Millisecond || !settings.MarksRepeat || settings.Prices.Fetch != 0.15 ||
+		!settings.Classes[1].InOrder || settings.Classes[0].InOrder {
+		t.Errorf("further rules or tenants: %+v", settings)
 	}
-	b := s.Classes[1]
-	if b.Effect != balance.Keyed || b.Scope != balance.ScopeZone || b.Window != 7500*time.Millisecond ||
-		b.Stretch != 1.75 || b.Kind != "small" || s.Classes[0].Kind != "" || s.Classes[0].Worth != 12 {
-		t.Errorf("classes %+v", s.Classes)
+	keyedClass := settings.Classes[1]
+	if keyedClass.Effect != balance.Keyed || keyedClass.Scope != balance.ScopeZone || keyedClass.Window != 7500*time.Millisecond ||
+		keyedClass.Stretch != 1.75 || keyedClass.Kind != "small" || settings.Classes[0].Kind != "" || settings.Classes[0].Worth != 12 {
+		t.Errorf("classes %+v", settings.Classes)
 	}
 }
 
-func TestNamesWhatIsMalformed(t *testing.T) {
+func TestReaderRejectsMalformedInput(t *testing.T) {
 	head := "FRAME sim-time-us=1 seq=1\n"
 	for _, bad := range []string{
 		"NONSENSE dispatcher=1\n", "REQUEST dispatcher=1 corr=x class=a time-budget-us=1\n",
@@ -137,11 +137,11 @@
 	}
 }
 
-func TestPrintsEveryAction(t *testing.T) {
+func TestWriterPrintsEveryAction(t *testing.T) {
 	var out strings.Builder
-	w := NewWriter(&out)
+	writer := NewWriter(&out)
 	us := time.Microsecond
-	for _, a := range []balance.Action{
+	for _, action := range []balance.Action{
 		{Kind: balance.Send, Request: 794656413225412, Worker: "10.0.0.7:1", After: 80 * us},
 		{Kind: balance.Send, Request: 1, Worker: "r"},
 		{Kind: balance.Refuse, Request: 1, After: 250 * us}, {Kind: balance.Refuse, Request: 1},
@@ -150,10 +150,10 @@
 		{Kind: balance.Subscribe}, {Kind: balance.Say, Text: "two\nlines"}, {Kind: balance.Tell, Raw: "\x01\xff"},
 		{Kind: balance.Tell, Raw: "\x02", To: []int{4, 7}},
 	} {
-		w.Action(3, &a)
+		writer.Action(3, &action)
 	}
-	w.Panic(5, "index out\nof range")
-	if err := w.Close(12); err != nil {
+	writer.Panic(5, "index out\nof range")
+	if err := writer.Close(12); err != nil {
 		t.Fatal(err)
 	}
 	want := `SEND dispatcher=3 corr=794656413225412 runner=10.0.0.7:1 cap-us=80
