--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,7 @@
-// Command simhost hosts dispatchers, each wholly separate from the others, and
-// speaks the wire on standard input and output.
+// Command simhost is the adapter between the simulator and the decision module. It reads batches
+// of messages from standard input and prints the actions of its dispatchers to standard output,
+// in the format of package wire. The dispatchers share no state: messages between them go
+// through the simulator. Simhost opens no sockets and reads no clock; each batch has its own time.
 package main
 
 import (
@@ -18,9 +20,9 @@
 )
 
 func main() {
-	operator := pflag.StringP("operator", "o", "", "the operator's file, as TOML; of it, only [room] counts here")
+	path := pflag.StringP("operator", "o", "", "the operator's file, as TOML; of it, only [room] counts here")
 	pflag.Parse()
-	op, err := config.ReadOperator(*operator)
+	op, err := config.ReadOperator(*path)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "simhost:", err)
 		os.Exit(2)
@@ -31,43 +33,43 @@
 	}
 }
 
-// instance is one dispatcher; failed is set once its decisions have panicked.
+// instance is one dispatcher.
 type instance struct {
-	b      *decide.Decider
-	failed bool
+	decider *decide.Decider
+	failed  bool // set once its decider has panicked; it then receives no more events
 }
 
-// host holds the instances of this process and the numbered lists of the wire.
+// host contains the instances of this process and the list buffers of the wire.
 type host struct {
-	instances map[int]*instance
-	pages     [16][]balance.Member
-	out       *wire.Writer
-	acts      []balance.Action
-	plan      *room.Config // of held room; nil: off
+	instances  map[int]*instance
+	lists      [16][]balance.Member
+	out        *wire.Writer
+	actions    []balance.Action
+	roomConfig *room.Config // of reservations; nil if disabled
 }
 
-// serve answers every batch read from r on w, until r ends.
-func serve(r io.Reader, w io.Writer, plan *room.Config) error {
-	in := wire.NewReader(r)
-	h := &host{instances: map[int]*instance{}, out: wire.NewWriter(w), plan: plan}
+// serve reads batches from r until r ends, and prints the reply to each to w.
+func serve(r io.Reader, w io.Writer, roomConfig *room.Config) error {
+	reader := wire.NewReader(r)
+	h := &host{instances: map[int]*instance{}, out: wire.NewWriter(w), roomConfig: roomConfig}
 	var batch wire.Item
 	for {
-		it, err := in.Next()
+		item, err := reader.Next()
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		switch it.Kind {
+		switch item.Kind {
 		case wire.Open:
-			batch = it
+			batch = item
 		case wire.Close:
 			err = h.out.Close(batch.Seq)
 		default:
-			it.Now = batch.Now
-			if err = h.take(&it); err != nil {
-				err = fmt.Errorf("line %d: %w", it.Line, err)
+			item.Now = batch.Now
+			if err = h.handleItem(&item); err != nil {
+				err = fmt.Errorf("line %d: %w", item.Line, err)
 			}
 		}
 		if err != nil {
@@ -76,50 +78,51 @@
 	}
 }
 
-// take handles one item of a batch.
-func (h *host) take(it *wire.Item) error {
-	switch it.Kind {
+// handleItem handles one item of a batch.
+func (h *host) handleItem(item *wire.Item) error {
+	switch item.Kind {
 	case wire.Page:
-		h.pages[it.Buffer] = it.Members
+		h.lists[item.Buffer] = item.Members
 		return nil
 	case wire.Stop:
-		if _, ok := h.instances[it.Instance]; !ok {
-			return fmt.Errorf("a message for unknown dispatcher %d", it.Instance)
+		if _, ok := h.instances[item.Instance]; !ok {
+			return fmt.Errorf("a message for unknown dispatcher %d", item.Instance)
 		}
-		delete(h.instances, it.Instance)
+		delete(h.instances, item.Instance)
 		return nil
 	case wire.Start:
-		b, err := decide.New(it.Settings, it.Seed, h.plan)
+		decider, err := decide.New(item.Settings, item.Seed, h.roomConfig)
 		if err != nil {
-			return fmt.Errorf("dispatcher %d: %w", it.Instance, err)
+			return fmt.Errorf("dispatcher %d: %w", item.Instance, err)
 		}
-		h.instances[it.Instance] = &instance{b: b}
+		h.instances[item.Instance] = &instance{decider: decider}
 		return nil
 	case wire.List:
-		if it.Event.List != balance.AskFailed {
-			it.Event.Members = h.pages[it.Buffer]
+		if item.Event.List != balance.AskFailed {
+			item.Event.Members = h.lists[item.Buffer]
 		}
 	}
-	in, ok := h.instances[it.Instance]
+	inst, ok := h.instances[item.Instance]
 	if !ok {
-		return fmt.Errorf("a message for unknown dispatcher %d", it.Instance)
+		return fmt.Errorf("a message for unknown dispatcher %d", item.Instance)
 	}
-	if !in.failed {
-		h.step(in, it)
+	if !inst.failed {
+		h.step(inst, item)
 	}
 	return nil
 }
 
-// step runs one decision and prints its actions; a panic becomes a message for that instance alone.
-func (h *host) step(in *instance, it *wire.Item) {
+// step runs one decision of an instance and prints the actions. On a panic it prints a PANIC
+// message and marks the instance as failed.
+func (h *host) step(inst *instance, item *wire.Item) {
 	defer func() {
 		if v := recover(); v != nil {
-			in.failed = true
-			h.out.Panic(it.Instance, fmt.Sprint(v))
+			inst.failed = true
+			h.out.Panic(item.Instance, fmt.Sprint(v))
 		}
 	}()
-	h.acts = in.b.Step(it.Now, &it.Event, h.acts[:0])
-	for i := range h.acts {
-		h.out.Action(it.Instance, &h.acts[i])
+	h.actions = inst.decider.Step(item.Now, &item.Event, h.actions[:0])
+	for i := range h.actions {
+		h.out.Action(item.Instance, &h.actions[i])
 	}
 }
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -18,8 +18,8 @@
 	return out.String(), err
 }
 
-// Lists are numbered in event order, also where one replaces another in the same batch.
-func TestListsAreResolvedInOrder(t *testing.T) {
+// An ANNOUNCE uses the PAGE before it, even if a later PAGE of the same batch replaces the buffer.
+func TestAnnounceUsesLatestPage(t *testing.T) {
 	out, err := run(t, "FRAME sim-time-us=1 seq=1\nSPAWN dispatcher=1"+spawn+"SPAWN dispatcher=2"+spawn+
 		"PAGE buffer=0 items=1\nM runner=one mode=IN\nANNOUNCE dispatcher=1 scope=disk serial=1 buffer=0\n"+
 		"PAGE buffer=0 items=1\nM runner=two mode=IN\nANNOUNCE dispatcher=2 scope=disk serial=1 buffer=0\n"+
@@ -35,7 +35,7 @@
 	}
 }
 
-func TestEndsOnBadInput(t *testing.T) {
+func TestServeRejectsBadInput(t *testing.T) {
 	for _, bad := range []string{
 		"FRAME sim-time-us=1 seq=1\nBELL dispatcher=7 key-back=1\nEND\n",
 		"FRAME sim-time-us=1 seq=1\nCRASH_NOW dispatcher=7\nEND\n",
@@ -53,12 +53,12 @@
 	}
 }
 
-// Decisions that panic end their own instance alone.
-func TestPanicStaysWithItsInstance(t *testing.T) {
+// A panic in a decision ends that instance and no other. It is reported once.
+func TestPanicEndsItsInstanceOnly(t *testing.T) {
 	var out strings.Builder
 	h := &host{instances: map[int]*instance{1: {}}, out: wire.NewWriter(&out)} // no Balancer: every step panics
 	for range 2 {
-		if err := h.take(&wire.Item{Kind: wire.Event, Instance: 1}); err != nil {
+		if err := h.handleItem(&wire.Item{Kind: wire.Event, Instance: 1}); err != nil {
 			t.Fatal(err)
 		}
 	}
