--- a/api/api_test.go
+++ b/api/api_test.go
@@ -1,5 +1,7 @@
-// Package api holds the descriptions of both fronts. Its tests hold them against the
-// exchanges that are played against the program.
+// Package api contains the API descriptions of both fronts: OpenAPI for HTTP requests, and AsyncAPI
+// for job events and Gearman packets. It has tests only. They validate the recorded exchanges, which
+// the tests of cmd/cottonwell replay against the program, with the descriptions. They start no
+// program.
 package api
 
 import (
@@ -24,102 +26,107 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// line is a line of a recorded exchange.
-type line struct{ conn, verb, text string }
+// exchangeLine is a line of a recorded exchange. A verb that begins with ">" sends text to the
+// program, one with "<" expects text from it. "." at its end means that the line has no CRLF, and
+// "p" that the text is a Gearman packet: its type and its arguments.
+type exchangeLine struct{ conn, verb, text string }
 
-// recorded returns the lines of every exchange, by file.
-func recorded(t *testing.T) map[string][]line {
+// recordedExchanges returns the lines of every exchange, by file name.
+func recordedExchanges(t *testing.T) map[string][]exchangeLine {
 	files, err := filepath.Glob("../cmd/cottonwell/testdata/exchanges/*.txt")
 	require.NoError(t, err)
 	require.NotEmpty(t, files)
-	out := map[string][]line{}
-	for _, f := range files {
-		data, err := os.ReadFile(f)
+	exchanges := map[string][]exchangeLine{}
+	for _, path := range files {
+		data, err := os.ReadFile(path)
 		require.NoError(t, err)
-		for _, s := range strings.Split(string(data), "\n") {
-			parts := strings.SplitN(s, " ", 3)
-			if s == "" || s[0] == '#' || len(parts) < 2 {
+		for _, text := range strings.Split(string(data), "\n") {
+			parts := strings.SplitN(text, " ", 3)
+			if text == "" || text[0] == '#' || len(parts) < 2 {
 				continue
 			}
 			parts = append(parts, "")
-			out[filepath.Base(f)] = append(out[filepath.Base(f)], line{parts[0], parts[1], parts[2]})
+			exchanges[filepath.Base(path)] = append(exchanges[filepath.Base(path)], exchangeLine{parts[0], parts[1], parts[2]})
 		}
 	}
-	return out
+	return exchanges
 }
 
+// unescape replaces the escape sequences of a Go string in s.
 func unescape(t *testing.T, s string) string {
-	out, err := strconv.Unquote(`"` + strings.ReplaceAll(s, `"`, `\"`) + `"`)
+	unescaped, err := strconv.Unquote(`"` + strings.ReplaceAll(s, `"`, `\"`) + `"`)
 	require.NoError(t, err)
-	return out
+	return unescaped
 }
 
-// streams joins what the connections of an exchange carried towards the program and from it.
-func streams(t *testing.T, lines []line) (in, out map[string]*bytes.Buffer) {
-	in, out = map[string]*bytes.Buffer{}, map[string]*bytes.Buffer{}
-	for _, l := range lines {
-		side := map[byte]map[string]*bytes.Buffer{'>': in, '<': out}[l.verb[0]]
-		if side == nil || strings.HasSuffix(l.verb, "p") {
+// streams returns the bytes that were sent to the program and from it, by connection. It leaves
+// out Gearman packets.
+func streams(t *testing.T, lines []exchangeLine) (toProgram, fromProgram map[string]*bytes.Buffer) {
+	toProgram, fromProgram = map[string]*bytes.Buffer{}, map[string]*bytes.Buffer{}
+	for _, line := range lines {
+		direction := map[byte]map[string]*bytes.Buffer{'>': toProgram, '<': fromProgram}[line.verb[0]]
+		if direction == nil || strings.HasSuffix(line.verb, "p") {
 			continue
 		}
-		if side[l.conn] == nil {
-			side[l.conn] = &bytes.Buffer{}
+		if direction[line.conn] == nil {
+			direction[line.conn] = &bytes.Buffer{}
 		}
-		side[l.conn].WriteString(unescape(t, l.text))
-		if !strings.HasSuffix(l.verb, ".") {
-			side[l.conn].WriteString("\r\n")
+		direction[line.conn].WriteString(unescape(t, line.text))
+		if !strings.HasSuffix(line.verb, ".") {
+			direction[line.conn].WriteString("\r\n")
 		}
 	}
-	return in, out
+	return toProgram, fromProgram
 }
 
-// programSide says whether a connection of a script was made by the program.
-func programSide(conn string) bool {
+// dialledByProgram reports whether the program opened this connection of an exchange.
+func dialledByProgram(conn string) bool {
 	return strings.HasPrefix(conn, "target") || strings.HasPrefix(conn, "discovery")
 }
 
-func router(t *testing.T) routers.Router {
+// newRouter returns a router for the paths of the OpenAPI description.
+func newRouter(t *testing.T) routers.Router {
 	doc, err := openapi3.NewLoader().LoadFromFile("openapi.yaml")
 	require.NoError(t, err)
 	require.NoError(t, doc.Validate(t.Context()))
-	r, err := gorillamux.NewRouter(doc)
+	router, err := gorillamux.NewRouter(doc)
 	require.NoError(t, err)
-	return r
+	return router
 }
 
-// TestOpenAPI holds every recorded request and answer against the description: whatever the
-// program serves is described, and whatever it rejects the description rejects, too.
+// TestOpenAPI validates every recorded request and response with the description. The description
+// must cover all that the program serves, and reject the requests that the program rejects.
 func TestOpenAPI(t *testing.T) {
-	r := router(t)
+	router := newRouter(t)
 	checked := 0
-	for name, lines := range recorded(t) {
+	for name, lines := range recordedExchanges(t) {
 		if strings.HasPrefix(name, "gearman") {
 			continue
 		}
-		in, out := streams(t, lines)
-		for conn, stream := range in {
-			if programSide(conn) {
+		toProgram, fromProgram := streams(t, lines)
+		for conn, stream := range toProgram {
+			if dialledByProgram(conn) {
 				continue
 			}
 			requests := bufio.NewReader(stream)
-			answers := bufio.NewReader(out[conn])
-			if out[conn] == nil {
-				continue // its client left
+			responses := bufio.NewReader(fromProgram[conn])
+			if fromProgram[conn] == nil {
+				continue // the client disconnected before a response
 			}
 			for {
 				req, err := http.ReadRequest(requests)
 				if err != nil {
-					break // the end, or what is no request
+					break // the end of the stream, or a malformed request
 				}
-				sent, _ := io.ReadAll(req.Body) // what follows is the next request
-				req.Body = io.NopCloser(bytes.NewReader(sent))
-				resp, err := http.ReadResponse(answers, req)
+				requestBody, _ := io.ReadAll(req.Body) // so that the reader is at the next request
+				req.Body = io.NopCloser(bytes.NewReader(requestBody))
+				resp, err := http.ReadResponse(responses, req)
 				if err != nil {
 					break
 				}
 				body, _ := io.ReadAll(resp.Body)
 				req.URL.Host, req.URL.Scheme = "origin.svc", "http"
-				route, params, err := r.FindRoute(req)
+				route, params, err := router.FindRoute(req)
 				if err != nil || (route.Path == "/{class}" && params["class"] != "shop-view" && params["class"] != "purchase") {
 					require.Contains(t, []int{404, 405}, resp.StatusCode, "%s: %s %s is not described", name, req.Method, req.URL)
 					continue
@@ -129,12 +136,12 @@
 				}
 				input := &openapi3filter.RequestValidationInput{Request: req, PathParams: params, Route: route,
 					Options: &openapi3filter.Options{ExcludeRequestBody: route.Path == "/{class}"}}
-				bad := openapi3filter.ValidateRequest(t.Context(), input)
+				requestErr := openapi3filter.ValidateRequest(t.Context(), input)
 				if name == "smuggled.txt" {
-					bad = errors.New("its bytes are at fault, and a parsed request no longer shows that")
+					requestErr = errors.New("the raw bytes are malformed, which the parsed request does not show")
 				}
-				require.Equal(t, resp.StatusCode == 400 || resp.StatusCode == 413, bad != nil && resp.StatusCode != 413 || resp.StatusCode == 413,
-					"%s: %s %s answered %d, the description says: %v", name, req.Method, req.URL, resp.StatusCode, bad)
+				require.Equal(t, resp.StatusCode == 400 || resp.StatusCode == 413, requestErr != nil && resp.StatusCode != 413 || resp.StatusCode == 413,
+					"%s: %s %s got status %d; validating the request with the description returned: %v", name, req.Method, req.URL, resp.StatusCode, requestErr)
 				if resp.Header.Get("Content-Type") == "" {
 					resp.Header.Set("Content-Type", "text/plain")
 				}
@@ -149,29 +156,29 @@
 	require.Greater(t, checked, 15)
 }
 
-// description is the part of an AsyncAPI document that the test needs. No AsyncAPI library
-// is to be had here; payloads are JSON schemas, which the OpenAPI one validates.
-type description struct {
+// asyncDocument is the part of an AsyncAPI document that the test needs. No AsyncAPI library is
+// available here. Payloads are JSON schemas, which the OpenAPI library validates.
+type asyncDocument struct {
 	AsyncAPI   string
-	Channels   map[string]struct{ Publish, Subscribe *struct{ Message ref } }
+	Channels   map[string]struct{ Publish, Subscribe *struct{ Message reference } }
 	Servers    map[string]any
 	Components struct {
-		Messages map[string]struct{ Payload ref }
+		Messages map[string]struct{ Payload reference }
 		Schemas  map[string]any
 	}
 }
 
-type ref struct {
+type reference struct {
 	To string `yaml:"$ref"`
 }
 
-// schema follows a message to the schema of its payload.
-func (d *description) schema(t *testing.T, message ref) *openapi3.Schema {
-	m, ok := d.Components.Messages[strings.TrimPrefix(message.To, "#/components/messages/")]
+// payloadSchema resolves a message reference and returns the schema of the message's payload.
+func (d *asyncDocument) payloadSchema(t *testing.T, message reference) *openapi3.Schema {
+	messageDoc, ok := d.Components.Messages[strings.TrimPrefix(message.To, "#/components/messages/")]
 	require.True(t, ok, message.To)
-	v, ok := d.Components.Schemas[strings.TrimPrefix(m.Payload.To, "#/components/schemas/")]
-	require.True(t, ok, m.Payload.To)
-	data, err := json.Marshal(v)
+	schemaDoc, ok := d.Components.Schemas[strings.TrimPrefix(messageDoc.Payload.To, "#/components/schemas/")]
+	require.True(t, ok, messageDoc.Payload.To)
+	data, err := json.Marshal(schemaDoc)
 	require.NoError(t, err)
 	var s openapi3.Schema
 	require.NoError(t, json.Unmarshal(data, &s))
@@ -179,17 +186,21 @@
 	return &s
 }
 
-// TestAsyncAPI holds every recorded job event and Gearman packet against the description.
+// TestAsyncAPI validates every recorded job event and Gearman packet with the description.
 func TestAsyncAPI(t *testing.T) {
 	data, err := os.ReadFile("asyncapi.yaml")
 	require.NoError(t, err)
-	var doc description
+	var doc asyncDocument
 	require.NoError(t, yaml.Unmarshal(data, &doc))
 	require.Equal(t, "2.4.0", doc.AsyncAPI)
-	publish := func(channel string) *openapi3.Schema { return doc.schema(t, doc.Channels[channel].Publish.Message) }
-	subscribe := func(channel string) *openapi3.Schema { return doc.schema(t, doc.Channels[channel].Subscribe.Message) }
-	event := publish("/v1/job-events")
-	kinds := []struct {
+	publish := func(channel string) *openapi3.Schema {
+		return doc.payloadSchema(t, doc.Channels[channel].Publish.Message)
+	}
+	subscribe := func(channel string) *openapi3.Schema {
+		return doc.payloadSchema(t, doc.Channels[channel].Subscribe.Message)
+	}
+	eventSchema := publish("/v1/job-events")
+	packetChecks := []struct {
 		schema *openapi3.Schema
 		types  []int
 	}{
@@ -199,31 +210,31 @@
 		{publish("gearman/worker/work"), []int{12, 13, 14, 25, 28, 29}},
 	}
 	events, packets := 0, 0
-	for name, lines := range recorded(t) {
-		for _, l := range lines {
-			if l.verb == ">." && strings.HasPrefix(l.text, `{"id"`) {
+	for name, lines := range recordedExchanges(t) {
+		for _, line := range lines {
+			if line.verb == ">." && strings.HasPrefix(line.text, `{"id"`) {
 				var v any
-				require.NoError(t, json.Unmarshal([]byte(unescape(t, l.text)), &v))
-				err := event.VisitJSON(v)
-				require.Equal(t, strings.Contains(l.text, "dreamt"), err != nil, "%s: %s: %v", name, l.text, err)
+				require.NoError(t, json.Unmarshal([]byte(unescape(t, line.text)), &v))
+				err := eventSchema.VisitJSON(v)
+				require.Equal(t, strings.Contains(line.text, "dreamt"), err != nil, "%s: %s: %v", name, line.text, err)
 				events++
 			}
-			if l.verb != ">p" && l.verb != "<p" {
+			if line.verb != ">p" && line.verb != "<p" {
 				continue
 			}
-			number, args, _ := strings.Cut(l.text, " ")
-			n, err := strconv.Atoi(number)
+			typeText, args, _ := strings.Cut(line.text, " ")
+			packetType, err := strconv.Atoi(typeText)
 			require.NoError(t, err)
-			for _, kind := range kinds {
-				if !slices.Contains(kind.types, n) {
+			for _, check := range packetChecks {
+				if !slices.Contains(check.types, packetType) {
 					continue
 				}
 				parts := []any{}
 				for _, s := range strings.Split(unescape(t, args), "\x00") {
 					parts = append(parts, s)
 				}
-				err := kind.schema.VisitJSON(map[string]any{"type": float64(n), "args": parts})
-				require.Equal(t, args == `view\x00only`, err != nil, "%s: %s %s: %v", name, l.verb, l.text, err)
+				err := check.schema.VisitJSON(map[string]any{"type": float64(packetType), "args": parts})
+				require.Equal(t, args == `view\x00only`, err != nil, "%s: %s %s: %v", name, line.verb, line.text, err)
 				packets++
 			}
 		}
