--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -99,13 +99,13 @@
 			return fmt.Errorf("gearman.function %q is defined twice", f.Name)
 		case classIndex < 0:
 			return fmt.Errorf("gearman.function %q: the settings have no class %q", f.Name, f.Class)
-		case f.Patience < 0 || f.Slots < 0:
+		case f.DeadlineMS < 0 || f.Slots < 0:
 			return fmt.Errorf("gearman.function %q: patience_ms or slots is negative", f.Name)
 		case f.Path != "" && !strings.HasPrefix(f.Path, "/"):
 			return fmt.Errorf("gearman.function %q: path does not begin with a slash", f.Name)
 		}
-		if f.Patience == 0 {
-			f.Patience = clock.Millis(s.Classes[classIndex].Deadline)
+		if f.DeadlineMS == 0 {
+			f.DeadlineMS = clock.Millis(s.Classes[classIndex].Deadline)
 		}
 		if f.Slots == 0 {
 			f.Slots = 1
--- a/internal/gearman/clients.go
+++ b/internal/gearman/clients.go
@@ -85,7 +85,7 @@
 		s.finish(j, core.Answer{Kind: core.Failed})
 		return nil
 	}
-	request := &core.Request{ID: j.id, Class: function.Class, Tenant: function.Tenant, Subject: unique, Patience: function.Patience, Slots: function.Slots, First: true, From: j,
+	request := &core.Request{ID: j.id, Class: function.Class, Tenant: function.Tenant, Subject: unique, Patience: function.DeadlineMS, Slots: function.Slots, First: true, From: j,
 		Job: core.Job{Method: "POST", Path: function.Path, Type: "application/octet-stream", Body: body, Priority: priority, Function: name, Unique: unique}}
 	if function.Keyed {
 		request.Job.Key = unique
--- a/internal/gearman/server.go
+++ b/internal/gearman/server.go
@@ -18,13 +18,13 @@
 
 // Function maps a Gearman function to a class of the scheduler and sets its jobs' properties.
 type Function struct {
-	Name     string  `toml:"name"`
-	Class    string  `toml:"class"`
-	Patience float64 `toml:"patience_ms"` // the client's deadline for the whole job
-	Slots    float64 `toml:"slots"`
-	Tenant   string  `toml:"tenant"`
-	Path     string  `toml:"path"` // at HTTP targets; "/" and the class by default
-	Keyed    bool    `toml:"-"`    // the class's key is the job's unique
+	Name       string  `toml:"name"`
+	Class      string  `toml:"class"`
+	DeadlineMS float64 `toml:"patience_ms"` // the client's deadline for the whole job
+	Slots      float64 `toml:"slots"`
+	Tenant     string  `toml:"tenant"`
+	Path       string  `toml:"path"` // at HTTP targets; "/" and the class by default
+	Keyed      bool    `toml:"-"`    // the class's key is the job's unique
 }
 
 // Worker is the placement of the worker that connects with this client ID.
--- a/internal/gearman/workers.go
+++ b/internal/gearman/workers.go
@@ -18,7 +18,7 @@
 	conn        *conn
 	functions   map[string]bool
 	asleep      bool
-	connectedMS float64             // when it sent its client ID; it is cold from then on
+	connectedMS float64             // when it connected; it is cold then
 	queued      []*attempt          // attempts to assign, the next one first
 	assigned    map[string]*attempt // by the job handle that the worker received
 	removed     bool
