--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,7 +1,8 @@
 // Package config reads the two configuration files of a scheduler: the platform's JSON
 // configuration, which includes the settings of the decision module, and the operator's TOML
-// file. It is given the paths and the environment, and returns checked values with defaults
-// filled in, or an error that names what is wrong. It starts nothing and does not watch the files.
+// file. It is given the paths and the environment, and returns the decoded values or an error that
+// names what is wrong. LoadOperator also checks the operator's file against the settings. The
+// package starts nothing and does not watch the files.
 package config
 
 import (
