--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -6,112 +6,114 @@
 	"cottonwell/internal/room"
 )
 
-// Group is what came of some of the requests.
-type Group struct {
-	Asked  int     `json:"asked"`
-	InTime int     `json:"in_time"`
-	Served int     `json:"served"`
-	P50    float64 `json:"p50_ms"`
-	P99    float64 `json:"p99_ms"`
-	h      *hdrhistogram.Histogram
+// GroupStats summarizes the outcomes and latencies of one group of requests.
+type GroupStats struct {
+	Requests  int     `json:"asked"`
+	InTime    int     `json:"in_time"` // served within the latency target
+	Served    int     `json:"served"`
+	P50       float64 `json:"p50_ms"`
+	P99       float64 `json:"p99_ms"`
+	latencies *hdrhistogram.Histogram
 }
 
-// Share is the part that was answered within its wanted time; 1 if none was asked for.
-func (g *Group) Share() float64 {
-	if g.Asked == 0 {
+// Share returns the fraction of the requests that were served within their latency targets.
+// It returns 1 for an empty group.
+func (g *GroupStats) Share() float64 {
+	if g.Requests == 0 {
 		return 1
 	}
-	return float64(g.InTime) / float64(g.Asked)
+	return float64(g.InTime) / float64(g.Requests)
 }
 
-// Result is what came of a day.
+// Result is the outcome of one run.
 type Result struct {
-	Small     Group          `json:"small"`
-	Large     Group          `json:"large"`  // jobs of the most slots
-	Worth     float64        `json:"worth"`  // of what was asked, the part that was answered within its wanted time
-	Within    Group          `json:"within"` // requests within their tenants' allowances
-	Sends     int            `json:"sends"`
-	Far       int            `json:"far"`       // of these, into another zone
-	Datagrams int            `json:"datagrams"` // among schedulers, once for each receiver
-	Refused   int            `json:"refused"`
-	Failed    int            `json:"failed"`
-	Left      int            `json:"left"`
-	Lost      int            `json:"lost"`
-	Broken    map[string]int `json:"broken"` // rules, by name
-	Room      RoomCounts     `json:"room"`
-	widest    int
-	asked     float64 // worth
+	Small           GroupStats     `json:"small"`
+	Large           GroupStats     `json:"large"`  // requests of the maximum number of slots; Small holds the others
+	Worth           float64        `json:"worth"`  // fraction of the requested value that was served within the latency targets
+	WithinAllowance GroupStats     `json:"within"` // requests within their tenants' allowances
+	Sends           int            `json:"sends"`
+	CrossZone       int            `json:"far"`       // sends to a worker in another zone
+	Datagrams       int            `json:"datagrams"` // between schedulers, counted once per receiver
+	Refused         int            `json:"refused"`
+	Failed          int            `json:"failed"`
+	Departed        int            `json:"left"`   // requests whose clients disconnected early
+	Lost            int            `json:"lost"`   // requests without a response
+	Violations      map[string]int `json:"broken"` // count by the name of the violated rule
+	Room            RoomCounts     `json:"room"`
+	maxSlots        int
+	offeredValue    float64 // the value of all recorded requests
 }
 
-// RoomCounts is what the planners of all schedulers did.
+// RoomCounts sums the reservation counters over the planners of all schedulers.
 type RoomCounts struct {
-	Held   int            `json:"held"`
-	Moved  int            `json:"moved"`
-	Gaps   int            `json:"gaps"`
-	Wrong  int            `json:"wrong"`
-	LetGo  map[string]int `json:"let_go"`
-	Scale  float64        `json:"scale"` // the governor's, at the end, the least of all
-	Budget int            `json:"refused"`
+	Held    int            `json:"held"`    // reservations made
+	Moved   int            `json:"moved"`   // of these, made because an earlier reservation of the flow failed
+	Gaps    int            `json:"gaps"`    // small jobs sent into a gap before a reservation
+	Wrong   int            `json:"wrong"`   // of these, jobs that ended too late
+	LetGo   map[string]int `json:"let_go"`  // released reservations by reason
+	Scale   float64        `json:"scale"`   // the lowest governor scale of any planner at the end of the run
+	Refused int            `json:"refused"` // reservations not made because of the share or the governor
 }
 
 func newResult(s *Spec) Result {
-	h := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, 100_000_000, 3) }
-	return Result{Small: Group{h: h()}, Large: Group{h: h()}, Within: Group{h: h()}, Broken: map[string]int{}, widest: s.Widest(),
+	newHistogram := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, 100_000_000, 3) }
+	return Result{Small: GroupStats{latencies: newHistogram()}, Large: GroupStats{latencies: newHistogram()}, WithinAllowance: GroupStats{latencies: newHistogram()}, Violations: map[string]int{}, maxSlots: s.MaxSlots(),
 		Room: RoomCounts{LetGo: map[string]int{}, Scale: 1}}
 }
 
-// NewResult returns an empty one, for those who count what passed on sockets.
+// NewResult returns an empty result, for a caller that records requests sent over sockets.
+// After the last Add, the caller must call Finish.
 func NewResult(s *Spec) *Result { r := newResult(s); return &r }
 
-// Add books a request: served or not, after so many milliseconds.
-func (r *Result) Add(s *Spec, a *Arrival, took float64, served bool) { r.add(s, a, took, served) }
+// Add records one finished request and its latency in milliseconds.
+func (r *Result) Add(s *Spec, a *Arrival, latency float64, served bool) { r.add(s, a, latency, served) }
 
-// Finish reads the quantiles.
+// Finish computes the value fraction and the latency quantiles from the recorded requests.
 func (r *Result) Finish() { r.finish() }
 
-func (r *Result) add(s *Spec, a *Arrival, took float64, served bool) {
-	groups := []*Group{&r.Small}
-	if a.Slots == r.widest && r.widest > 1 {
+func (r *Result) add(s *Spec, a *Arrival, latency float64, served bool) {
+	groups := []*GroupStats{&r.Small}
+	if a.Slots == r.maxSlots && r.maxSlots > 1 {
 		groups[0] = &r.Large
 	}
-	worth := s.Classes[a.Class].Worth
-	if a.Beyond {
-		worth *= float64(s.BeyondWorth)
+	value := s.Classes[a.Class].Value
+	if a.BeyondAllowance {
+		value *= float64(s.BeyondAllowanceValue)
 	} else {
-		groups = append(groups, &r.Within)
+		groups = append(groups, &r.WithinAllowance)
 	}
-	r.asked += worth
-	if served && took <= s.Aim(a) {
-		r.Worth += worth
+	r.offeredValue += value
+	if served && latency <= s.LatencyTarget(a) {
+		r.Worth += value
 	}
 	for _, g := range groups {
-		g.Asked++
+		g.Requests++
 		if !served {
 			continue
 		}
 		g.Served++
-		if took <= s.Aim(a) {
+		if latency <= s.LatencyTarget(a) {
 			g.InTime++
 		}
-		_ = g.h.RecordValue(int64(max(1, took*1000))) // one out of range is no answer in time, and counted as such
+		_ = g.latencies.RecordValue(int64(max(1, latency*1000))) // a latency beyond the histogram's range also exceeds its target and is counted so above
 	}
 }
 
 func (r *Result) finish() {
-	r.Worth /= max(r.asked, 1e-9)
-	for _, g := range []*Group{&r.Small, &r.Large, &r.Within} {
-		g.P50, g.P99 = float64(g.h.ValueAtQuantile(50))/1000, float64(g.h.ValueAtQuantile(99))/1000
+	r.Worth /= max(r.offeredValue, 1e-9)
+	for _, g := range []*GroupStats{&r.Small, &r.Large, &r.WithinAllowance} {
+		g.P50, g.P99 = float64(g.latencies.ValueAtQuantile(50))/1000, float64(g.latencies.ValueAtQuantile(99))/1000
 	}
 }
 
 func (r *Result) addRoom(p *room.Planner) {
-	c := &p.Counts
-	r.Room.Held += c.Held
-	r.Room.Moved += c.Moved
-	r.Room.Gaps += c.Gaps
-	r.Room.Wrong += c.Wrong
-	r.Room.Budget += c.Refused
-	for i, n := range c.LetGo {
+	counts := &p.Counts
+	r.Room.Held += counts.Held
+	r.Room.Moved += counts.Moved
+	r.Room.Gaps += counts.Gaps
+	r.Room.Wrong += counts.Wrong
+	r.Room.Refused += counts.Refused
+	for i, n := range counts.LetGo {
 		if n > 0 {
 			r.Room.LetGo[room.Reason(i).String()] += n
 		}
@@ -120,9 +122,9 @@
 	r.Room.Scale = min(r.Room.Scale, scale)
 }
 
-// Rules is how often any rule was broken.
+// Rules returns the number of rule violations, summed over all rules.
 func (r *Result) Rules() (n int) {
-	for _, x := range r.Broken {
+	for _, x := range r.Violations {
 		n += x
 	}
 	return n
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -1,7 +1,12 @@
-// Package emulator plays a shop: workers with slots, memory and a queue, clients, discovery
-// and a network that delays and loses. The model has no I/O and runs on the time it is given;
-// World plays a whole day of it against schedulers in one process, and package shopfront puts
-// the same workers and clients on loopback sockets.
+// Package emulator simulates a site with its load: workers with slots, memory and a queue, clients,
+// discovery, and a network that delays and drops messages.
+//
+// A Spec, read from an experiment file, describes the site. World runs it in virtual time against
+// schedulers in the same process and returns a Result: served requests, latencies, reservation
+// counters and rule violations. The same Spec and seed give the same Result.
+//
+// The package does no I/O. Package shopfront runs the same workers and load on loopback sockets,
+// against real scheduler processes.
 package emulator
 
 import (
@@ -9,83 +14,84 @@
 	"math/rand/v2"
 )
 
-// Order is how a worker's queue is served.
-type Order int
+// QueueOrder is the order in which a worker starts its queued jobs.
+type QueueOrder int
 
-// The orders.
+// The queue orders.
 const (
-	FIFO     Order = iota // the head waits until it fits
-	Fits                  // whatever fits first
-	Priority              // by the job's priority; the head waits until it fits
+	FIFO       QueueOrder = iota // first come, first served; the first job waits until it fits
+	Backfill                     // the first queued job that fits
+	ByPriority                   // higher priority first; the first job waits until it fits
 )
 
-// WorkerSpec is what a worker is.
+// WorkerSpec describes one worker.
 type WorkerSpec struct {
 	ID, Zone, Kind, Cell string
 	Slots                int
-	Memory               float64 // units; 0: not counted
+	Memory               float64 // units; 0: unlimited
 	Speed                float64
-	Queue                int // jobs that may wait; more are turned away
-	Order                Order
-	ColdFrom             float64 // share of its speed after a start,
-	ColdFor              float64 // rising evenly over so many ms
-	FallMultiple         float64 // sent more than this times its present capacity
-	FallWindow           float64 // within so many ms while cold, it falls over and stays down
-	// MeanWork says that requests are counted, each as so much work (ms on a worker of speed 1), and that chance is
-	// allowed for as the platform does; 0: the work itself is counted.
-	MeanWork float64
+	Queue                int // maximum number of queued jobs; further jobs are rejected
+	Order                QueueOrder
+	ColdSpeed            float64 // share of Speed right after a start
+	ColdDuration         float64 // ms after a start until full speed; the share rises linearly
+	OverloadMultiple     float64 // a cold worker collapses above this multiple of its current capacity
+	OverloadWindow       float64 // ms over which the offered work is summed for OverloadMultiple
+	// WorkPerRequest, if positive, is the work (ms at speed 1) that each request counts for in the overload check. The
+	// check then allows for random variation as the platform does. 0: the check sums the actual work of the jobs.
+	WorkPerRequest float64
 }
 
-// Job is what a worker is asked to run.
+// Job is one attempt to run on a worker.
 type Job struct {
-	Ref      uint64  // the host's name for the attempt
-	Slots    int     // that it takes
-	Memory   float64 // units, while it runs
-	Work     float64 // ms on a worker of speed 1
-	Priority int
-	Told     bool // its scheduler had been told of the worker's last start
+	Ref        uint64 // the host's identifier of the attempt
+	Slots      int
+	Memory     float64 // units used while it runs
+	Work       float64 // run time in ms at speed 1
+	Priority   int
+	StartKnown bool // discovery had announced the worker's last start to the scheduler
 }
 
-// Note is news of a job.
-type Note struct {
+// JobEvent reports a change of state of a job.
+type JobEvent struct {
 	Ref  uint64
-	Kind NoteKind
+	Kind JobEventKind
 }
 
-// NoteKind tells notes apart.
-type NoteKind int
+// JobEventKind is the kind of a JobEvent.
+type JobEventKind int
 
-// The kinds of notes.
+// The kinds of job events.
 const (
-	Started NoteKind = iota
+	Started JobEventKind = iota
 	Done
-	Lost // the process died with it
+	Lost // the worker's process was killed
 )
 
-type running struct {
+type runningJob struct {
 	Job
-	end float64
+	endsAt float64
 }
 
-type sent struct {
-	at, work float64
-	told     bool
+type offer struct {
+	at, work   float64
+	startKnown bool
 }
 
-// Worker is a worker's state. It is no goroutine's; its host calls it in the order of time.
+// Worker is the state of one emulated worker. It starts no goroutine and takes no lock; its host must
+// serialize all calls and pass times that don't decrease. Times are milliseconds on the host's clock.
 type Worker struct {
 	WorkerSpec
-	Up       bool
-	Draining bool
-	Fallen   bool
-	FailPart float64 // share of the jobs that fail at once
-	Born     float64 // of its last start; 0: long ago
-	rng      *rand.Rand
-	run      []running
-	queue    []Job
-	stillTo  float64 // it stands still until then
-	offers   []sent  // while cold
-	Busy     float64 // slot-ms of finished jobs
+	Up             bool
+	Draining       bool
+	Collapsed      bool
+	FailShare      float64 // share of the offered jobs that fail immediately
+	StartedAt      float64 // ms, last start; 0: long ago, so the worker is warm
+	rng            *rand.Rand
+	running        []runningJob
+	queue          []Job
+	pausedUntil    float64 // ms
+	recentOffers   []offer // within OverloadWindow, while cold
+	BusySlotMillis float64 // run time of the finished jobs times their slots, at this worker's full speed
 }
 
 // NewWorker returns a warm worker that is up.
@@ -93,40 +99,40 @@
 	return &Worker{WorkerSpec: s, Up: true, rng: rand.New(rand.NewPCG(seed, 0xa076))}
 }
 
-// Warmth is its present share of its speed.
-func (w *Worker) Warmth(now float64) float64 {
-	if w.Born == 0 || w.ColdFor <= 0 || now-w.Born >= w.ColdFor {
+// SpeedShare returns the current share of the full speed: less than 1 while the worker is cold.
+func (w *Worker) SpeedShare(now float64) float64 {
+	if w.StartedAt == 0 || w.ColdDuration <= 0 || now-w.StartedAt >= w.ColdDuration {
 		return 1
 	}
-	return w.ColdFrom + (1-w.ColdFrom)*max(0, now-w.Born)/w.ColdFor
+	return w.ColdSpeed + (1-w.ColdSpeed)*max(0, now-w.StartedAt)/w.ColdDuration
 }
 
-// Answer is what a worker says to a job.
-type Answer int
+// OfferResult is the worker's response to an offered job.
+type OfferResult int
 
-// The answers.
+// The offer results.
 const (
-	Taken  Answer = iota
-	Full          // turned away, never run
-	Failed        // an error of its own; it may have run
-	Away          // nobody there
+	Accepted    OfferResult = iota
+	Rejected                // the job doesn't fit, the queue is full or the worker drains; the job never ran
+	Failed                  // an error of the worker; the job may have run
+	Unreachable             // the process is down or collapsed
 )
 
-// Offer hands the worker a job. Taken ones end by a note.
-func (w *Worker) Offer(now float64, j Job) Answer {
+// Offer offers a job to the worker. Advance or Kill reports the end of an accepted job.
+func (w *Worker) Offer(now float64, j Job) OfferResult {
 	switch {
-	case !w.Up || w.Fallen:
-		return Away
-	case w.tips(now, j):
-		w.Fallen = true
-		return Away
-	case w.FailPart > 0 && w.rng.Float64() < w.FailPart:
+	case !w.Up || w.Collapsed:
+		return Unreachable
+	case w.overloads(now, j):
+		w.Collapsed = true
+		return Unreachable
+	case w.FailShare > 0 && w.rng.Float64() < w.FailShare:
 		return Failed
 	case w.Draining || j.Slots > w.Slots || w.Memory > 0 && j.Memory > w.Memory || len(w.queue) >= w.Queue:
-		return Full
+		return Rejected
 	}
 	at := len(w.queue)
-	if w.Order == Priority {
+	if w.Order == ByPriority {
 		for at > 0 && w.queue[at-1].Priority < j.Priority {
 			at--
 		}
@@ -134,146 +140,147 @@
 	w.queue = append(w.queue, Job{})
 	copy(w.queue[at+1:], w.queue[at:])
 	w.queue[at] = j
-	return Taken
+	return Accepted
 }
 
-// tips says whether this offer is one too many for a cold worker.
-func (w *Worker) tips(now float64, j Job) bool {
-	warm := w.Warmth(now)
-	if warm >= 1 || w.FallMultiple <= 0 {
-		w.offers = w.offers[:0]
+// overloads reports whether this job overloads a cold worker. It records the job as a recent offer.
+func (w *Worker) overloads(now float64, j Job) bool {
+	speedShare := w.SpeedShare(now)
+	if speedShare >= 1 || w.OverloadMultiple <= 0 {
+		w.recentOffers = w.recentOffers[:0]
 		return false
 	}
-	sum := 0.0
-	keep := w.offers[:0]
-	for _, x := range w.offers {
-		if x.at > now-w.FallWindow {
-			keep = append(keep, x)
-			sum += x.work
+	offeredWork := 0.0
+	recent := w.recentOffers[:0]
+	for _, x := range w.recentOffers {
+		if x.at > now-w.OverloadWindow {
+			recent = append(recent, x)
+			offeredWork += x.work
 		}
 	}
 	work := j.Work * float64(j.Slots)
-	if w.MeanWork > 0 {
-		work = w.MeanWork
+	if w.WorkPerRequest > 0 {
+		work = w.WorkPerRequest
 	}
-	w.offers = append(keep, sent{now, work, j.Told})
-	sum += work
-	allowed := w.FallMultiple * warm * w.Speed * float64(w.Slots) * w.FallWindow
-	if w.MeanWork > 0 {
-		requests := allowed / w.MeanWork
-		return sum/w.MeanWork > requests+2*math.Sqrt(requests)+2
+	w.recentOffers = append(recent, offer{now, work, j.StartKnown})
+	offeredWork += work
+	allowed := w.OverloadMultiple * speedShare * w.Speed * float64(w.Slots) * w.OverloadWindow
+	if w.WorkPerRequest > 0 {
+		requests := allowed / w.WorkPerRequest
+		return offeredWork/w.WorkPerRequest > requests+2*math.Sqrt(requests)+2
 	}
-	slackFor := 2 * work // chance
-	return sum > allowed+slackFor
+	slack := 2 * work // allows for random variation
+	return offeredWork > allowed+slack
 }
 
-// toldShare is the part of the requests of the last window that came from schedulers told of the worker's last start.
-func (w *Worker) toldShare() float64 {
-	told := 0
-	for _, x := range w.offers {
-		if x.told {
-			told++
+// startKnownShare returns the share of the recent offers that came from schedulers to which discovery had announced
+// the worker's last start.
+func (w *Worker) startKnownShare() float64 {
+	known := 0
+	for _, x := range w.recentOffers {
+		if x.startKnown {
+			known++
 		}
 	}
-	return float64(told) / float64(max(1, len(w.offers)))
+	return float64(known) / float64(max(1, len(w.recentOffers)))
 }
 
-// Next is when something happens by itself; infinite if nothing does.
-func (w *Worker) Next(now float64) float64 {
+// NextEvent returns the time (ms) of the next start or end of a job, or infinity if there is none.
+func (w *Worker) NextEvent(now float64) float64 {
 	next := math.Inf(1)
-	for i := range w.run {
-		next = min(next, w.run[i].end)
+	for i := range w.running {
+		next = min(next, w.running[i].endsAt)
 	}
-	if len(w.queue) > 0 && w.startable() >= 0 {
-		next = min(next, max(now, w.stillTo))
+	if len(w.queue) > 0 && w.nextStartable() >= 0 {
+		next = min(next, max(now, w.pausedUntil))
 	}
 	return next
 }
 
-// Advance plays the worker up to the given time; jobs that end free their slots for those
-// that wait, at the moment of their end.
-func (w *Worker) Advance(now float64, note func(at float64, n Note)) {
+// Advance simulates the worker up to the given time and reports each start and end of a job.
+// A queued job can start at the moment at which another job ends and releases its slots.
+func (w *Worker) Advance(now float64, report func(at float64, n JobEvent)) {
 	for {
-		at := w.Next(now)
+		at := w.NextEvent(now)
 		if !(at <= now) {
 			return
 		}
-		for i := 0; i < len(w.run); i++ {
-			if w.run[i].end <= at {
-				r := w.run[i]
-				w.run = append(w.run[:i], w.run[i+1:]...)
+		for i := 0; i < len(w.running); i++ {
+			if w.running[i].endsAt <= at {
+				job := w.running[i]
+				w.running = append(w.running[:i], w.running[i+1:]...)
 				i--
-				w.Busy += r.Work * float64(r.Slots) / w.Speed
-				note(r.end, Note{r.Ref, Done})
+				w.BusySlotMillis += job.Work * float64(job.Slots) / w.Speed
+				report(job.endsAt, JobEvent{job.Ref, Done})
 			}
 		}
-		for at >= w.stillTo {
-			i := w.startable()
+		for at >= w.pausedUntil {
+			i := w.nextStartable()
 			if i < 0 {
 				break
 			}
 			j := w.queue[i]
 			w.queue = append(w.queue[:i], w.queue[i+1:]...)
-			w.run = append(w.run, running{j, at + j.Work/(w.Speed*w.Warmth(at))})
-			note(at, Note{j.Ref, Started})
+			w.running = append(w.running, runningJob{j, at + j.Work/(w.Speed*w.SpeedShare(at))})
+			report(at, JobEvent{j.Ref, Started})
 		}
 	}
 }
 
-// startable is the place in the queue of the job that starts next, or -1.
-func (w *Worker) startable() int {
-	slots, memory := w.free()
+// nextStartable returns the queue index of the job that starts next, or -1 if no job can start.
+func (w *Worker) nextStartable() int {
+	slots, memory := w.freeCapacity()
 	for i, j := range w.queue {
 		if j.Slots <= slots && (w.Memory <= 0 || j.Memory <= memory+1e-9) {
 			return i
 		}
-		if w.Order != Fits {
+		if w.Order != Backfill {
 			return -1
 		}
 	}
 	return -1
 }
 
-func (w *Worker) free() (slots int, memory float64) {
+func (w *Worker) freeCapacity() (slots int, memory float64) {
 	slots, memory = w.Slots, w.Memory
-	for i := range w.run {
-		slots -= w.run[i].Slots
-		memory -= w.run[i].Memory
+	for i := range w.running {
+		slots -= w.running[i].Slots
+		memory -= w.running[i].Memory
 	}
 	return slots, memory
 }
 
-// Still makes the worker stand still for so many ms: all that runs ends later.
-func (w *Worker) Still(now, ms float64) {
-	w.stillTo = max(w.stillTo, now+ms)
-	for i := range w.run {
-		w.run[i].end += ms
+// Pause stops the worker for ms milliseconds. All running jobs end that much later, and none starts.
+func (w *Worker) Pause(now, ms float64) {
+	w.pausedUntil = max(w.pausedUntil, now+ms)
+	for i := range w.running {
+		w.running[i].endsAt += ms
 	}
 }
 
-// Kill ends the process and all that it held.
-func (w *Worker) Kill(now float64, note func(at float64, n Note)) {
+// Kill ends the worker's process and reports all running and queued jobs as lost.
+func (w *Worker) Kill(now float64, report func(at float64, n JobEvent)) {
 	w.Up = false
-	for _, r := range w.run {
-		note(now, Note{r.Ref, Lost})
+	for _, r := range w.running {
+		report(now, JobEvent{r.Ref, Lost})
 	}
 	for _, j := range w.queue {
-		note(now, Note{j.Ref, Lost})
+		report(now, JobEvent{j.Ref, Lost})
 	}
-	w.run, w.queue = nil, nil
+	w.running, w.queue = nil, nil
 }
 
-// Restart brings it back, cold and empty.
+// Restart starts the worker's process again, cold and without jobs.
 func (w *Worker) Restart(now float64) {
-	w.Up, w.Fallen, w.Draining, w.Born, w.stillTo, w.FailPart = true, false, false, now, 0, 0
-	w.run, w.queue, w.offers = nil, nil, nil
+	w.Up, w.Collapsed, w.Draining, w.StartedAt, w.pausedUntil, w.FailShare = true, false, false, now, 0, 0
+	w.running, w.queue, w.recentOffers = nil, nil, nil
 }
 
-// Load is what the worker would report of itself.
-type Load struct{ InFlight, Queue, FreeSlots, FreeMemory float64 }
+// Load is the current load of a worker: numbers of jobs, slots and memory units.
+type Load struct{ InFlight, Queued, FreeSlots, FreeMemory float64 }
 
-// Load returns its true figures.
+// Load returns the exact load, without delay or noise.
 func (w *Worker) Load() Load {
-	s, m := w.free()
-	return Load{float64(len(w.run) + len(w.queue)), float64(len(w.queue)), float64(s), m}
+	s, m := w.freeCapacity()
+	return Load{float64(len(w.running) + len(w.queue)), float64(len(w.queue)), float64(s), m}
 }
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -14,12 +14,12 @@
 	"cottonwell/internal/vtime"
 )
 
-// Settings are the module's, as a scheduler of this shop is told them.
+// Settings returns the settings of the decision module for the scheduler with index self.
 func (s *Spec) Settings(self int) balance.Settings {
 	out := balance.Settings{Self: self, Fleet: s.Schedulers, Zone: s.Zones[self%len(s.Zones)], Tick: 5 * time.Millisecond, ReportsFree: true,
-		TellsStart: true, MaxAttempts: 3, Cancel: true, Probes: true, Peers: !s.Apart, Subscribe: true, StreamsPerConn: 1, ConnIdle: 30 * time.Second,
+		TellsStart: true, MaxAttempts: 3, Cancel: true, Probes: true, Peers: !s.Isolated, Subscribe: true, StreamsPerConn: 1, ConnIdle: 30 * time.Second,
 		DialTimeout: 250 * time.Millisecond, AnswerSlack: 20 * time.Millisecond, AskWithin: 10 * time.Second, ColdFrom: 0.15,
-		BeyondWorth: float64(s.BeyondWorth), ColdFor: 24 * time.Second, DrainGrace: 250 * time.Millisecond, FallMultiple: 3, FallWindow: time.Second,
+		BeyondWorth: float64(s.BeyondAllowanceValue), ColdFor: 24 * time.Second, DrainGrace: 250 * time.Millisecond, FallMultiple: 3, FallWindow: time.Second,
 		Prices: balance.Prices{Probe: 0.0019, CrossZone: 0.059},
 		Goal:   balance.Goal{Whole: 0.45, WorstWindow: 0.15, WorstClass: 0.3}}
 	for _, t := range s.Tenants {
@@ -29,119 +29,119 @@
 	}
 	cold := 0.0
 	for _, k := range s.Kinds {
-		cold = max(cold, float64(k.ColdFor))
-		if k.ColdFor > 0 {
-			out.ColdFrom = min(out.ColdFrom, float64(k.ColdFrom))
+		cold = max(cold, float64(k.ColdDuration))
+		if k.ColdDuration > 0 {
+			out.ColdFrom = min(out.ColdFrom, float64(k.ColdSpeed))
 		}
 	}
 	if cold > 0 {
-		out.ColdFor = span(cold)
+		out.ColdFor = toDuration(cold)
 	}
 	for _, c := range s.Classes {
-		x := balance.Class{Name: c.Name, Aim: span(float64(c.Aim)), Stretch: c.Stretch, Deadline: span(float64(c.Patience)), Worth: c.Worth}
+		x := balance.Class{Name: c.Name, Aim: toDuration(float64(c.LatencyTarget)), Stretch: c.TargetStretch, Deadline: toDuration(float64(c.ClientTimeout)), Worth: c.Value}
 		if c.Keyed {
-			x.Effect, x.Scope, x.Window = balance.Keyed, balance.ScopeCell, span(float64(c.Window))
+			x.Effect, x.Scope, x.Window = balance.Keyed, balance.ScopeCell, toDuration(float64(c.KeyWindow))
 		}
 		out.Classes = append(out.Classes, x)
 	}
 	return out
 }
 
-func span(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
+func toDuration(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// World plays one day against schedulers in this process, on a time of its own. The same
-// spec, seed and plan give the same day.
+// World runs the emulated site in virtual time against schedulers in the same process. The same Spec,
+// seed and plan give the same Result.
 type World struct {
-	spec *Spec
-	ways *faults.Net // among the schedulers
-	rng  *rand.Rand
+	spec  *Spec
+	links *faults.Net // between the schedulers
+	rng   *rand.Rand
 	vtime.Queue
-	seq     uint64 // of attempts and of requests that come again
-	workers []*place
-	byID    map[string]*place
-	scheds  []*sched
-	flows   map[uint64]*flow
-	open    int
-	Result  Result
+	lastID      uint64 // last identifier of an attempt or of a retried request
+	workers     []*simWorker
+	workersByID map[string]*simWorker
+	schedulers  []*scheduler
+	flows       map[uint64]*flow
+	openFlows   int
+	Result      Result
 }
 
-// place is a worker in the world: what it last reported, and when it is looked at next.
-type place struct {
+// simWorker is a worker in a World, with its reported load and its scheduled events. Times are virtual ms.
+type simWorker struct {
 	*Worker
-	spec     WorkerSpec
-	load     Load
-	loadAt   float64
-	lookAt   float64
-	attempts map[uint64]*attempt
-	drainAt  float64 // since when it drains; 0: it does not
-	state    balance.State
+	spec           WorkerSpec
+	reportedLoad   Load
+	sampledAt      float64 // when the last load report was sampled; 0: never
+	nextEventAt    float64 // when advance is scheduled to run next
+	attempts       map[uint64]*attempt
+	drainingSince  float64       // 0: not draining
+	discoveryState balance.State // state that discovery announces
 }
 
-// Policy decides for one scheduler: the program's decisions, or what they are compared with.
+// Policy decides for one scheduler. It is either decide.Decider or a policy to compare it with.
 type Policy interface {
-	// Step takes one event at the given time and appends the actions that answer it.
+	// Step processes one event at the given time and appends the resulting actions to acts.
 	Step(now time.Duration, ev *balance.Event, acts []balance.Action) []balance.Action
 }
 
-type sched struct {
-	n      int
-	policy Policy
-	alive  bool
-	life   int
-	acts   []balance.Action
-	toldOf map[string]float64 // when it was told that a worker drains or is gone
-	// toldBorn is the last start of each worker that it was told of.
-	toldBorn map[string]float64
+type scheduler struct {
+	index         int
+	policy        Policy
+	alive         bool
+	incarnation   int // number of starts of the process
+	actionBuffer  []balance.Action
+	notReadySince map[string]float64 // by worker: when discovery first reported it as draining or gone
+	// knownStart is the last start of each worker that discovery reported to this scheduler, in virtual ms.
+	knownStart map[string]float64
 }
 
 type flow struct {
-	id       uint64
-	a        Arrival
-	first    float64 // of its first try
-	due      float64
-	s        *sched
-	life     int
-	attempts []*attempt
-	over     bool
-	tries    int
-	counted  bool
+	id          uint64
+	arrival     Arrival
+	firstSentAt float64 // time of the first try
+	deadline    float64
+	scheduler   *scheduler
+	incarnation int // of the scheduler when the request arrived
+	attempts    []*attempt
+	finished    bool
+	retries     int
+	recorded    bool // in Result
 }
 
 type attempt struct {
-	ref   uint64
-	n     int
-	f     *flow
-	to    *place
-	at    float64
-	over  bool // the scheduler knows its end
-	quit  bool // it was given up, and its worker may know
-	ran   bool // it may have run
-	ended balance.Result
+	ref        uint64
+	index      int
+	flow       *flow
+	worker     *simWorker
+	sentAt     float64
+	concluded  bool // the scheduler was notified of its end
+	cancelled  bool // the scheduler cancelled it; the cancellation may have reached the worker
+	mayHaveRun bool
+	result     balance.Result
 }
 
-// NewWorld makes a world. Without a plan no room is held.
+// NewWorld returns a World that is ready to Run. If plan is nil, the schedulers make no reservations.
 func NewWorld(spec *Spec, seed uint64, plan *room.Config) (*World, error) {
 	if err := spec.Check(); err != nil {
 		return nil, err
 	}
 	for _, f := range spec.Faults {
 		if !f.Kind.OfWay() && f.Kind != faults.Kill || f.Ways != "" || f.Old {
-			return nil, fmt.Errorf("fault %s: in virtual time schedulers may be killed and the ways among them be bad, and no more", f.Kind)
+			return nil, fmt.Errorf("fault %s: virtual time supports only kills of schedulers and faults on the links between them", f.Kind)
 		}
 	}
-	w := &World{spec: spec, rng: rand.New(rand.NewPCG(seed, 0x0117)), Queue: vtime.Queue{Now: 1e9}, byID: map[string]*place{}, flows: map[uint64]*flow{}}
-	w.ways = &faults.Net{Base: float64(spec.DatagramDelay), Rng: rand.New(rand.NewPCG(seed, 0xda7a)), Script: slices.Concat(spec.Faults,
+	w := &World{spec: spec, rng: rand.New(rand.NewPCG(seed, 0x0117)), Queue: vtime.Queue{Now: 1e9}, workersByID: map[string]*simWorker{}, flows: map[uint64]*flow{}}
+	w.links = &faults.Net{Base: float64(spec.DatagramDelay), Rng: rand.New(rand.NewPCG(seed, 0xda7a)), Script: slices.Concat(spec.Faults,
 		faults.Script{{Kind: faults.Loss, Lasts: 2 * spec.Length, Share: spec.DatagramLoss}})}
 	w.Result = newResult(spec)
 	for i, ws := range spec.Workers() {
-		p := &place{Worker: NewWorker(ws, seed+uint64(i)), spec: ws, lookAt: math.Inf(1), attempts: map[uint64]*attempt{}}
-		p.load = p.Load() // a report is old, and never empty
+		p := &simWorker{Worker: NewWorker(ws, seed+uint64(i)), spec: ws, nextEventAt: math.Inf(1), attempts: map[uint64]*attempt{}}
+		p.reportedLoad = p.Load() // a probe before the first sample reports this load
 		w.workers = append(w.workers, p)
-		w.byID[ws.ID] = p
+		w.workersByID[ws.ID] = p
 	}
 	for i := range spec.Schedulers {
-		s := &sched{n: i, toldOf: map[string]float64{}, toldBorn: map[string]float64{}}
-		w.scheds = append(w.scheds, s)
+		s := &scheduler{index: i, notReadySince: map[string]float64{}, knownStart: map[string]float64{}}
+		w.schedulers = append(w.schedulers, s)
 		if err := w.start(s, seed, plan); err != nil {
 			return nil, err
 		}
@@ -151,39 +151,41 @@
 		id := uint64(i + 1)
 		w.After(a.At, func() { w.arrive(id, a, start+a.At, 0) })
 	}
-	w.script(seed, plan)
+	w.scheduleFaults(seed, plan)
 	return w, nil
 }
 
-func (w *World) start(s *sched, seed uint64, plan *room.Config) error {
-	settings, own := w.spec.Settings(s.n), seed+uint64(s.n)*77+uint64(s.life)
-	if w.spec.policy != nil {
-		s.policy = w.spec.policy(settings, own)
+// start starts the process of a scheduler, without state from an earlier incarnation.
+func (w *World) start(s *scheduler, seed uint64, plan *room.Config) error {
+	settings, schedulerSeed := w.spec.Settings(s.index), seed+uint64(s.index)*77+uint64(s.incarnation)
+	if w.spec.newPolicy != nil {
+		s.policy = w.spec.newPolicy(settings, schedulerSeed)
 	} else {
-		d, err := decide.New(settings, own, plan)
+		decider, err := decide.New(settings, schedulerSeed, plan)
 		if err != nil {
 			return err
 		}
-		s.policy = d
+		s.policy = decider
 	}
 	s.alive = true
-	s.life++
-	w.After(0, func() { w.list(s, balance.FromDisk) })
+	s.incarnation++
+	w.After(0, func() { w.sendSnapshot(s, balance.FromDisk) })
 	return nil
 }
 
-// net is the time that a message takes.
-func (w *World) net() float64 { return float64(w.spec.NetDelay) * (0.8 + 0.4*w.rng.Float64()) }
+// networkDelay draws the delay of one message, in ms.
+func (w *World) networkDelay() float64 { return float64(w.spec.NetDelay) * (0.8 + 0.4*w.rng.Float64()) }
 
-// Run plays until all that came is answered, and returns what came of it.
+// Run runs the simulation until every request has its final response, and returns the Result. It stops at
+// the latest 20 s after the end of the load and counts the open requests as unanswered.
 func (w *World) Run() *Result {
 	end := w.Now + float64(w.spec.Length) + 20_000
-	for w.Now < end && (w.open > 0 || w.Now < end-20_000) && w.Next(math.Inf(1)) {
+	for w.Now < end && (w.openFlows > 0 || w.Now < end-20_000) && w.Next(math.Inf(1)) {
 	}
-	if w.open > 0 {
-		w.Result.Broken["unanswered"] += w.open
+	if w.openFlows > 0 {
+		w.Result.Violations["unanswered"] += w.openFlows
 	}
-	for _, s := range w.scheds {
+	for _, s := range w.schedulers {
 		if d, ok := s.policy.(*decide.Decider); ok && d.Room() != nil {
 			w.Result.addRoom(d.Room())
 		}
@@ -192,358 +194,370 @@
 	return &w.Result
 }
 
-// step gives a scheduler an event and does what it says.
-func (w *World) step(s *sched, ev balance.Event) {
+// step passes an event to a scheduler's policy and performs the resulting actions.
+func (w *World) step(s *scheduler, ev balance.Event) {
 	if !s.alive {
 		return
 	}
-	acts := s.policy.Step(span(w.Now), &ev, s.acts[:0])
-	s.acts = nil // a step from within needs its own
-	for i := range acts {
-		w.act(s, &acts[i])
+	actions := s.policy.Step(toDuration(w.Now), &ev, s.actionBuffer[:0])
+	s.actionBuffer = nil // a nested step must not reuse the buffer
+	for i := range actions {
+		w.perform(s, &actions[i])
 	}
-	s.acts = acts[:0]
+	s.actionBuffer = actions[:0]
 }
 
-func (w *World) act(s *sched, a *balance.Action) {
-	life := s.life
-	alive := func() bool { return s.alive && s.life == life }
-	switch a.Kind {
+// perform carries out one action of a scheduler.
+func (w *World) perform(s *scheduler, action *balance.Action) {
+	incarnation := s.incarnation
+	sameProcess := func() bool { return s.alive && s.incarnation == incarnation }
+	switch action.Kind {
 	case balance.Send:
-		w.send(s, w.flows[a.Request], a.Worker)
+		w.send(s, w.flows[action.Request], action.Worker)
 	case balance.Refuse, balance.Fail:
-		w.answer(w.flows[a.Request], a.Kind == balance.Refuse)
+		w.endUnserved(w.flows[action.Request], action.Kind == balance.Refuse)
 	case balance.Cancel:
-		f := w.flows[a.Request]
-		if f == nil || a.Attempt >= len(f.attempts) {
-			w.Result.Broken["cancel-unknown"]++
+		f := w.flows[action.Request]
+		if f == nil || action.Attempt >= len(f.attempts) {
+			w.Result.Violations["cancel-unknown"]++
 			return
 		}
-		at := f.attempts[a.Attempt]
-		at.quit = true
-		w.After(2*w.net(), func() { w.conclude(at, balance.Cancelled) })
+		abandoned := f.attempts[action.Attempt]
+		abandoned.cancelled = true
+		w.After(2*w.networkDelay(), func() { w.conclude(abandoned, balance.Cancelled) })
 	case balance.Wake:
-		timer := a.Timer
-		w.After(a.After.Seconds()*1000, func() {
-			if alive() {
+		timer := action.Timer
+		w.After(action.After.Seconds()*1000, func() {
+			if sameProcess() {
 				w.step(s, balance.Event{Kind: balance.TimerDue, Timer: timer})
 			}
 		})
 	case balance.Probe:
-		p := w.byID[a.Worker]
-		began := w.Now
-		w.After(2*w.net(), func() {
-			if !alive() {
+		p := w.workersByID[action.Worker]
+		sentAt := w.Now
+		w.After(2*w.networkDelay(), func() {
+			if !sameProcess() {
 				return
 			}
-			ev := balance.Event{Kind: balance.Probed, Worker: p.ID, Elapsed: span(w.Now - began), Report: w.report(p)}
-			if !p.Up || p.Fallen {
+			ev := balance.Event{Kind: balance.Probed, Worker: p.ID, Elapsed: toDuration(w.Now - sentAt), Report: w.report(p)}
+			if !p.Up || p.Collapsed {
 				ev.Result, ev.Report = balance.NoConnection, balance.Report{}
 			}
 			w.step(s, ev)
 		})
 	case balance.Subscribe:
-		w.After(2*w.net(), func() {
-			if alive() {
-				w.list(s, balance.Whole)
+		w.After(2*w.networkDelay(), func() {
+			if sameProcess() {
+				w.sendSnapshot(s, balance.Whole)
 			}
 		})
 	case balance.Tell:
-		if len(a.Raw) > 256 {
-			w.Result.Broken["datagram-too-long"]++
+		if len(action.Raw) > 256 {
+			w.Result.Violations["datagram-too-long"]++
 		}
-		if a.To == nil {
-			for _, to := range w.scheds {
-				w.datagram(s, to, a.Raw)
+		if action.To == nil {
+			for _, to := range w.schedulers {
+				w.sendDatagram(s, to, action.Raw)
 			}
 		}
-		for _, n := range a.To {
-			w.datagram(s, w.scheds[n], a.Raw)
+		for _, n := range action.To {
+			w.sendDatagram(s, w.schedulers[n], action.Raw)
 		}
 	}
 }
 
-// datagram sends one on its way, through whatever is wrong there.
-func (w *World) datagram(s, to *sched, raw string) {
+// sendDatagram sends a datagram to another scheduler. The faults of the link may delay, drop, repeat or change it.
+func (w *World) sendDatagram(s, to *scheduler, raw string) {
 	if to == s {
 		return
 	}
 	w.Result.Datagrams++
-	for _, d := range w.ways.Pass(w.Now-1e9, s.n, to.n, raw) {
+	for _, d := range w.links.Pass(w.Now-1e9, s.index, to.index, raw) {
 		w.After(d.After, func() {
-			w.step(to, balance.Event{Kind: balance.PeerSpoke, Who: s.n, Raw: d.Raw})
+			w.step(to, balance.Event{Kind: balance.PeerSpoke, Who: s.index, Raw: d.Raw})
 		})
 	}
 }
 
-func (w *World) member(p *place) balance.Member {
-	return balance.Member{ID: p.ID, Zone: p.Zone, Kind: p.Kind, Cell: p.Cell, State: p.state, Weight: 1, Started: span(p.Born)}
+// discoveryEntry returns the worker's entry in the discovery list.
+func (w *World) discoveryEntry(p *simWorker) balance.Member {
+	return balance.Member{ID: p.ID, Zone: p.Zone, Kind: p.Kind, Cell: p.Cell, State: p.discoveryState, Weight: 1, Started: toDuration(p.StartedAt)}
 }
 
-func (w *World) list(s *sched, scope balance.ListScope) {
+// sendSnapshot passes the whole discovery list to a scheduler.
+func (w *World) sendSnapshot(s *scheduler, scope balance.ListScope) {
 	ev := balance.Event{Kind: balance.Listed, List: scope}
 	for _, p := range w.workers {
-		if p.state != balance.Gone {
-			ev.Members = append(ev.Members, w.member(p))
+		if p.discoveryState != balance.Gone {
+			ev.Members = append(ev.Members, w.discoveryEntry(p))
 		}
-		w.heardOf(s, p)
+		w.recordNotified(s, p)
 	}
 	w.step(s, ev)
 }
 
-func (w *World) heardOf(s *sched, p *place) {
-	if p.state == balance.Ready {
-		delete(s.toldOf, p.ID)
-		s.toldBorn[p.ID] = p.Born
-	} else if _, ok := s.toldOf[p.ID]; !ok {
-		s.toldOf[p.ID] = w.Now
+// recordNotified records that a scheduler received the worker's current entry.
+func (w *World) recordNotified(s *scheduler, p *simWorker) {
+	if p.discoveryState == balance.Ready {
+		delete(s.notReadySince, p.ID)
+		s.knownStart[p.ID] = p.StartedAt
+	} else if _, ok := s.notReadySince[p.ID]; !ok {
+		s.notReadySince[p.ID] = w.Now
 	}
 }
 
-// tell has all schedulers told of a change at a worker, some time after.
-func (w *World) tell(p *place, state balance.State) {
-	w.After(float64(w.spec.ListDelay)*(0.5+w.rng.Float64()), func() {
-		p.state = state
-		for _, s := range w.scheds {
-			if w.spec.ListSpread == 0 {
-				w.tellOne(s, p)
+// announce changes a worker's state in discovery after the discovery delay and then notifies all schedulers.
+func (w *World) announce(p *simWorker, state balance.State) {
+	w.After(float64(w.spec.DiscoveryDelay)*(0.5+w.rng.Float64()), func() {
+		p.discoveryState = state
+		for _, s := range w.schedulers {
+			if w.spec.DiscoverySpread == 0 {
+				w.notify(s, p)
 				continue
 			}
-			w.After(float64(w.spec.ListSpread)*w.rng.Float64(), func() { w.tellOne(s, p) })
+			w.After(float64(w.spec.DiscoverySpread)*w.rng.Float64(), func() { w.notify(s, p) })
 		}
 	})
 }
 
-func (w *World) tellOne(s *sched, p *place) {
-	w.heardOf(s, p)
-	w.step(s, balance.Event{Kind: balance.Listed, List: balance.Changes, Members: []balance.Member{w.member(p)}})
+// notify passes a change of one worker to a scheduler.
+func (w *World) notify(s *scheduler, p *simWorker) {
+	w.recordNotified(s, p)
+	w.step(s, balance.Event{Kind: balance.Listed, List: balance.Changes, Members: []balance.Member{w.discoveryEntry(p)}})
 }
 
-func (w *World) arrive(id uint64, a Arrival, first float64, tries int) {
-	s := w.scheds[a.Scheduler]
-	for i := 0; !s.alive && i < len(w.scheds); i++ {
-		s = w.scheds[(a.Scheduler+i)%len(w.scheds)]
+// arrive delivers a request to its scheduler, or to the next live one.
+func (w *World) arrive(id uint64, a Arrival, firstSentAt float64, retries int) {
+	s := w.schedulers[a.Scheduler]
+	for i := 0; !s.alive && i < len(w.schedulers); i++ {
+		s = w.schedulers[(a.Scheduler+i)%len(w.schedulers)]
 	}
 	c := &w.spec.Classes[a.Class]
-	f := &flow{id: id, a: a, first: first, due: first + float64(c.Patience), s: s, life: s.life, tries: tries}
+	f := &flow{id: id, arrival: a, firstSentAt: firstSentAt, deadline: firstSentAt + float64(c.ClientTimeout), scheduler: s, incarnation: s.incarnation, retries: retries}
 	w.flows[id] = f
-	w.open++
-	if a.Leaves > 0 {
-		w.After(a.Leaves, func() {
-			if !f.over {
+	w.openFlows++
+	if a.DepartsAfter > 0 {
+		w.After(a.DepartsAfter, func() {
+			if !f.finished {
 				w.close(f)
-				w.Result.Left++
-				w.step(f.s, balance.Event{Kind: balance.Departed, Request: id})
+				w.Result.Departed++
+				w.step(f.scheduler, balance.Event{Kind: balance.Departed, Request: id})
 			}
 		})
 	}
-	w.After(f.due+50-w.Now, func() {
-		if !f.over && f.s.life == f.life {
-			w.Result.Broken["answer-late"]++
+	w.After(f.deadline+50-w.Now, func() {
+		if !f.finished && f.scheduler.incarnation == f.incarnation {
+			w.Result.Violations["answer-late"]++
 			w.close(f)
-			w.count(f, false)
+			w.record(f, false)
 		}
 	})
-	w.step(s, balance.Event{Kind: balance.Arrived, Request: id, Class: c.Name, Tenant: a.Tenant, Budget: span(f.due - w.Now),
-		Slots: float64(a.Slots), Memory: a.Memory, Priority: c.Priority, Repeat: tries > 0, First: tries == 0})
+	w.step(s, balance.Event{Kind: balance.Arrived, Request: id, Class: c.Name, Tenant: a.Tenant, Budget: toDuration(f.deadline - w.Now),
+		Slots: float64(a.Slots), Memory: a.Memory, Priority: c.Priority, Repeat: retries > 0, First: retries == 0})
 }
 
+// close marks a flow as finished.
 func (w *World) close(f *flow) {
-	f.over = true
-	w.open--
+	f.finished = true
+	w.openFlows--
 }
 
-// send starts an attempt and holds it against the rules.
-func (w *World) send(s *sched, f *flow, id string) {
-	p := w.byID[id]
+// send starts an attempt at a worker and counts the rules that it violates.
+func (w *World) send(s *scheduler, f *flow, id string) {
+	p := w.workersByID[id]
 	if f == nil || p == nil {
-		w.Result.Broken["send-unknown"]++
+		w.Result.Violations["send-unknown"]++
 		return
 	}
-	w.seq++
-	a := &attempt{ref: w.seq, n: len(f.attempts), f: f, to: p, at: w.Now}
-	w.rules(s, f, a)
+	w.lastID++
+	a := &attempt{ref: w.lastID, index: len(f.attempts), flow: f, worker: p, sentAt: w.Now}
+	w.checkRules(s, f, a)
 	f.attempts = append(f.attempts, a)
 	w.Result.Sends++
-	if p.Zone != w.spec.Zones[s.n%len(w.spec.Zones)] {
-		w.Result.Far++
+	if p.Zone != w.spec.Zones[s.index%len(w.spec.Zones)] {
+		w.Result.CrossZone++
 	}
-	w.After(f.due-w.Now, func() { w.conclude(a, balance.TimedOut) })
-	w.After(w.net(), func() { w.offer(a) })
+	w.After(f.deadline-w.Now, func() { w.conclude(a, balance.TimedOut) })
+	w.After(w.networkDelay(), func() { w.offer(a) })
 }
 
-func (w *World) rules(s *sched, f *flow, a *attempt) {
-	broken := w.Result.Broken
-	if f.over {
-		broken["send-after-answer"]++
+// checkRules counts the rules that a new attempt violates.
+func (w *World) checkRules(s *scheduler, f *flow, a *attempt) {
+	violations := w.Result.Violations
+	if f.finished {
+		violations["send-after-answer"]++
 	}
 	if len(f.attempts) >= 3 {
-		broken["fourth-attempt"]++
+		violations["fourth-attempt"]++
 	}
-	if at, ok := s.toldOf[a.to.ID]; ok && w.Now > at+250 {
-		broken["send-to-draining"]++
+	if at, ok := s.notReadySince[a.worker.ID]; ok && w.Now > at+250 {
+		violations["send-to-draining"]++
 	}
-	c := &w.spec.Classes[f.a.Class]
+	c := &w.spec.Classes[f.arrival.Class]
 	for _, x := range f.attempts {
-		if !x.over {
-			broken["two-attempts-out"]++
+		if !x.concluded {
+			violations["two-attempts-out"]++
 		}
-		if c.Keyed && (!x.over || x.ran) && (x.to.Cell != a.to.Cell || w.Now-x.at > float64(c.Window)) {
-			broken["keyed-repeat-elsewhere"]++
+		if c.Keyed && (!x.concluded || x.mayHaveRun) && (x.worker.Cell != a.worker.Cell || w.Now-x.sentAt > float64(c.KeyWindow)) {
+			violations["keyed-repeat-elsewhere"]++
 		}
 	}
 }
 
+// offer delivers an attempt to its worker.
 func (w *World) offer(a *attempt) {
-	p, f := a.to, a.f
-	if a.over {
+	p, f := a.worker, a.flow
+	if a.concluded {
 		return
 	}
-	fell := p.Fallen
-	ans := p.Offer(w.Now, Job{Ref: a.ref, Slots: f.a.Slots, Memory: f.a.Memory, Work: f.a.Work, Priority: w.spec.Classes[f.a.Class].Priority,
-		Told: f.s.toldBorn[p.ID] == p.Born})
-	// The platform counts the falls of which over two thirds came from schedulers that had been told of the start.
-	if p.Fallen && !fell && (!w.spec.ByRequests || p.toldShare() > 2.0/3) {
-		w.Result.Broken["cold-pushed-over"]++
+	wasCollapsed := p.Collapsed
+	result := p.Offer(w.Now, Job{Ref: a.ref, Slots: f.arrival.Slots, Memory: f.arrival.Memory, Work: f.arrival.Work, Priority: w.spec.Classes[f.arrival.Class].Priority,
+		StartKnown: f.scheduler.knownStart[p.ID] == p.StartedAt})
+	// The platform counts a collapse only if more than two thirds of the requests came from schedulers to which discovery
+	// had announced the start.
+	if p.Collapsed && !wasCollapsed && (!w.spec.OverloadByRequests || p.startKnownShare() > 2.0/3) {
+		w.Result.Violations["cold-pushed-over"]++
 	}
-	switch ans {
-	case Taken:
+	switch result {
+	case Accepted:
 		p.attempts[a.ref] = a
-		w.look(p)
-	case Full:
-		w.After(w.net(), func() { w.conclude(a, balance.Full) })
+		w.advance(p)
+	case Rejected:
+		w.After(w.networkDelay(), func() { w.conclude(a, balance.Full) })
 	case Failed:
-		a.ran = true
-		w.After(w.net()+1, func() { w.conclude(a, balance.Failed) })
-	case Away:
-		w.After(w.net(), func() { w.conclude(a, balance.NoConnection) })
+		a.mayHaveRun = true
+		w.After(w.networkDelay()+1, func() { w.conclude(a, balance.Failed) })
+	case Unreachable:
+		w.After(w.networkDelay(), func() { w.conclude(a, balance.NoConnection) })
 	}
 }
 
-// look plays a worker to the present, and comes back when something happens there next.
-func (w *World) look(p *place) {
-	p.Advance(w.Now, func(at float64, n Note) { w.note(p, n) })
-	next := p.Next(w.Now)
-	if next < p.lookAt || p.lookAt <= w.Now {
-		p.lookAt = next
+// advance simulates a worker up to the present and schedules itself for the worker's next event.
+func (w *World) advance(p *simWorker) {
+	p.Advance(w.Now, func(at float64, n JobEvent) { w.handleJobEvent(p, n) })
+	next := p.NextEvent(w.Now)
+	if next < p.nextEventAt || p.nextEventAt <= w.Now {
+		p.nextEventAt = next
 		if !math.IsInf(next, 1) {
 			w.After(next-w.Now, func() {
-				if p.lookAt <= w.Now {
-					w.look(p)
+				if p.nextEventAt <= w.Now {
+					w.advance(p)
 				}
 			})
 		}
 	}
 }
 
-func (w *World) note(p *place, n Note) {
+// handleJobEvent reports a start or an end of a job to the scheduler of its request.
+func (w *World) handleJobEvent(p *simWorker, n JobEvent) {
 	a := p.attempts[n.Ref]
 	if a == nil {
 		return
 	}
-	f := a.f
-	a.ran = true
+	f := a.flow
+	a.mayHaveRun = true
 	switch n.Kind {
 	case Started:
-		w.After(w.net(), func() {
-			if !a.over && f.s.life == f.life {
-				w.step(f.s, balance.Event{Kind: balance.Noted, Request: f.id, Attempt: a.n, Worker: p.ID, Started: true})
+		w.After(w.networkDelay(), func() {
+			if !a.concluded && f.scheduler.incarnation == f.incarnation {
+				w.step(f.scheduler, balance.Event{Kind: balance.Noted, Request: f.id, Attempt: a.index, Worker: p.ID, Started: true})
 			}
 		})
 	case Done:
 		delete(p.attempts, n.Ref)
-		w.After(w.net(), func() { w.conclude(a, balance.OK) })
+		w.After(w.networkDelay(), func() { w.conclude(a, balance.OK) })
 	case Lost:
 		delete(p.attempts, n.Ref)
-		w.After(w.net(), func() { w.conclude(a, balance.Reset) })
+		w.After(w.networkDelay(), func() { w.conclude(a, balance.Reset) })
 	}
 }
 
-// report is what the worker says of itself: a while old, and noisy.
-func (w *World) report(p *place) balance.Report {
-	if w.Now-p.loadAt > float64(w.spec.ReportEvery)*(0.5+w.rng.Float64()) || p.loadAt == 0 {
+// report returns the worker's load report. The report is delayed and noisy.
+func (w *World) report(p *simWorker) balance.Report {
+	if w.Now-p.sampledAt > float64(w.spec.ReportInterval)*(0.5+w.rng.Float64()) || p.sampledAt == 0 {
 		delay := float64(w.spec.ReportDelay)
-		for _, t := range w.spec.Troubles {
-			if since := w.Now - 1e9; t.Kind == "late-reports" && since >= float64(t.At) && since < float64(t.At+t.Lasts) {
-				delay += float64(t.Size)
+		for _, t := range w.spec.SiteFaults {
+			if since := w.Now - 1e9; t.Kind == "late-reports" && since >= float64(t.At) && since < float64(t.At+t.Duration) {
+				delay += float64(t.Delay)
 			}
 		}
 		load := p.Load()
-		p.loadAt = w.Now
+		p.sampledAt = w.Now
 		if delay <= 0 {
-			p.load = load
+			p.reportedLoad = load
 		} else {
-			w.After(delay, func() { p.load = load })
+			w.After(delay, func() { p.reportedLoad = load })
 		}
 	}
 	noise := func(x float64) float64 {
 		return max(0, x*(1+float64(w.spec.ReportNoise)*w.rng.NormFloat64()))
 	}
-	r := balance.Report{Present: true, InFlight: noise(p.load.InFlight), Waiting: noise(p.load.Queue), Free: noise(p.load.FreeSlots)}
+	r := balance.Report{Present: true, InFlight: noise(p.reportedLoad.InFlight), Waiting: noise(p.reportedLoad.Queued), Free: noise(p.reportedLoad.FreeSlots)}
 	if p.Memory > 0 {
-		r.Memory = max(0.001, noise(p.load.FreeMemory))
+		r.Memory = max(0.001, noise(p.reportedLoad.FreeMemory))
 	}
 	return r
 }
 
-// conclude ends an attempt for its scheduler, once.
-func (w *World) conclude(a *attempt, res balance.Result) {
-	f := a.f
-	if a.over {
+// conclude notifies the scheduler of the end of an attempt. Only the first call for an attempt has an effect.
+func (w *World) conclude(a *attempt, result balance.Result) {
+	f := a.flow
+	if a.concluded {
 		return
 	}
-	a.over, a.ended = true, res
-	if res == balance.Full || res == balance.NoConnection {
-		a.ran = false
+	a.concluded, a.result = true, result
+	if result == balance.Full || result == balance.NoConnection {
+		a.mayHaveRun = false
 	} else {
-		a.ran = true
+		a.mayHaveRun = true
 	}
-	if f.s.life != f.life || !f.s.alive {
+	if f.scheduler.incarnation != f.incarnation || !f.scheduler.alive {
 		return
 	}
-	ev := balance.Event{Kind: balance.Ended, Request: f.id, Attempt: a.n, Worker: a.to.ID, Result: res, Elapsed: span(w.Now - a.at)}
-	if !w.spec.Apart && (res == balance.OK || res == balance.Failed || res == balance.Full) {
-		ev.Report = w.report(a.to)
+	ev := balance.Event{Kind: balance.Ended, Request: f.id, Attempt: a.index, Worker: a.worker.ID, Result: result, Elapsed: toDuration(w.Now - a.sentAt)}
+	if !w.spec.Isolated && (result == balance.OK || result == balance.Failed || result == balance.Full) {
+		ev.Report = w.report(a.worker)
 	}
-	if res == balance.OK && !f.over {
+	if result == balance.OK && !f.finished {
 		w.close(f)
-		w.count(f, true)
+		w.record(f, true)
 	}
-	ev.Final = f.over
-	w.step(f.s, ev)
+	ev.Final = f.finished
+	w.step(f.scheduler, ev)
 }
 
-// answer is a refusal or a failure; some clients come again at once.
-func (w *World) answer(f *flow, refused bool) {
-	if f == nil || f.over {
-		w.Result.Broken["second-answer"]++
+// endUnserved ends a request with a refusal or a failure. Clients with retries left send it again immediately.
+func (w *World) endUnserved(f *flow, refused bool) {
+	if f == nil || f.finished {
+		w.Result.Violations["second-answer"]++
 		return
 	}
 	w.close(f)
 	if refused {
 		w.Result.Refused++
 		for _, a := range f.attempts {
-			if w.spec.Classes[f.a.Class].Keyed && a.ran {
-				w.Result.Broken["refused-though-it-may-have-run"]++
+			if w.spec.Classes[f.arrival.Class].Keyed && a.mayHaveRun {
+				w.Result.Violations["refused-though-it-may-have-run"]++
 			}
 		}
 	} else {
 		w.Result.Failed++
 	}
-	if f.tries < w.spec.Retries && w.Now < f.due-10 && f.a.Leaves == 0 {
-		w.seq++
-		id := w.seq<<20 | 1<<50
-		w.After(2*w.net(), func() { w.arrive(id, f.a, f.first, f.tries+1) })
+	if f.retries < w.spec.Retries && w.Now < f.deadline-10 && f.arrival.DepartsAfter == 0 {
+		w.lastID++
+		id := w.lastID<<20 | 1<<50
+		w.After(2*w.networkDelay(), func() { w.arrive(id, f.arrival, f.firstSentAt, f.retries+1) })
 		return
 	}
-	w.count(f, false)
+	w.record(f, false)
 }
 
-// count books a request that is over, with all its tries.
-func (w *World) count(f *flow, served bool) {
-	if f.counted || f.first-1e9 < float64(w.spec.Warmup) || f.a.Leaves > 0 {
+// record adds a finished request, including all its retries, to the Result. It omits requests that arrived during the
+// warm-up or whose clients disconnect early.
+func (w *World) record(f *flow, served bool) {
+	if f.recorded || f.firstSentAt-1e9 < float64(w.spec.Warmup) || f.arrival.DepartsAfter > 0 {
 		return
 	}
-	f.counted = true
-	w.Result.add(w.spec, &f.a, w.Now-f.first, served)
+	f.recorded = true
+	w.Result.add(w.spec, &f.arrival, w.Now-f.firstSentAt, served)
 }
--- a/internal/emulator/world_test.go
+++ b/internal/emulator/world_test.go
@@ -12,56 +12,60 @@
 	"cottonwell/internal/units"
 )
 
-// shop is a small one where large jobs have a hard time.
-func shop() *Spec {
+// smallSite returns a small site on which jobs of many slots rarely find enough free slots.
+func smallSite() *Spec {
 	return &Spec{Schedulers: 2, Level: 0.7, Length: 8000, Warmup: 1000, NetDelay: 0.5, DatagramDelay: 3, ReportDelay: 60, ReportNoise: 0.08,
-		ListDelay: 300, Leave: 0.03, Retries: 1,
-		Kinds: []KindSpec{{Name: "fast", Count: 6, Slots: 8, Speed: 1.5, Queue: 16, ColdFor: 10_000}, {Name: "slow", Count: 6, Slots: 8, Speed: 0.9, Queue: 16, ColdFor: 10_000}},
+		DiscoveryDelay: 300, DepartureShare: 0.03, Retries: 1,
+		Kinds: []KindSpec{{Name: "fast", Count: 6, Slots: 8, Speed: 1.5, Queue: 16, ColdDuration: 10_000}, {Name: "slow", Count: 6, Slots: 8, Speed: 0.9, Queue: 16, ColdDuration: 10_000}},
 		Classes: []ClassSpec{
-			{Name: "shop-view", Share: 0.7, Runs: 60, Spread: 0.5, Aim: 75, Stretch: 2, Worth: 5},
-			{Name: "purchase", Share: 0.3, Runs: 60, Spread: 0.4, Slots: []SlotShare{{1, 0.7}, {4, 0.3}}, Aim: 150, Stretch: 2.5, Worth: 3, Keyed: true}},
+			{Name: "shop-view", Share: 0.7, RunTime: 60, RunTimeVariation: 0.5, LatencyTarget: 75, TargetStretch: 2, Value: 5},
+			{Name: "purchase", Share: 0.3, RunTime: 60, RunTimeVariation: 0.4, Slots: []SlotShare{{1, 0.7}, {4, 0.3}}, LatencyTarget: 150, TargetStretch: 2.5, Value: 3, Keyed: true}},
 		Tenants: []TenantSpec{{Name: "cricket-league", Share: 0.5}, {Name: "tuk-race", Share: 0.5}}}
 }
 
-func play(t *testing.T, s *Spec, seed uint64, plan *room.Config) *Result {
+func simulate(t *testing.T, s *Spec, seed uint64, plan *room.Config) *Result {
 	w, err := NewWorld(s, seed, plan)
 	require.NoError(t, err)
 	return w.Run()
 }
 
-func TestSameSeedSameDay(t *testing.T) {
+func TestSameSeedGivesSameResult(t *testing.T) {
 	plan := room.Default()
-	s := shop()
-	s.Troubles = []TroubleSpec{{Kind: "crash", At: 2000, Lasts: 3500, Part: 0.22}, {Kind: "late-reports", At: 2000, Lasts: 3500, Size: 1500}}
-	one, two := play(t, s, 5, &plan), play(t, s, 5, &plan)
+	s := smallSite()
+	s.SiteFaults = []SiteFaultSpec{{Kind: "crash", At: 2000, Duration: 3500, Fraction: 0.22}, {Kind: "late-reports", At: 2000, Duration: 3500, Delay: 1500}}
+	one, two := simulate(t, s, 5, &plan), simulate(t, s, 5, &plan)
 	for _, r := range []*Result{one, two} {
-		r.Small.h, r.Large.h, r.Within.h = nil, nil, nil
+		r.Small.latencies, r.Large.latencies, r.WithinAllowance.latencies = nil, nil, nil
 	}
 	require.Equal(t, one, two)
 }
 
-// The hard days: each trouble, with room held, and no rule broken.
-func TestRulesHoldOnHardDays(t *testing.T) {
+// With reservations, no fault leads to a rule violation.
+func TestRulesHoldUnderFaults(t *testing.T) {
 	for name, change := range map[string]func(*Spec){
-		"calm": func(s *Spec) {},
-		"22% die while reports come late": func(s *Spec) {
-			s.Troubles = []TroubleSpec{{Kind: "crash", At: 2000, Lasts: 3500, Part: 0.22}, {Kind: "late-reports", At: 2000, Lasts: 3500, Size: 4900}}
+		"no fault": func(s *Spec) {},
+		"22% crash while reports are late": func(s *Spec) {
+			s.SiteFaults = []SiteFaultSpec{{Kind: "crash", At: 2000, Duration: 3500, Fraction: 0.22}, {Kind: "late-reports", At: 2000, Duration: 3500, Delay: 4900}}
 		},
-		"half stand still for 80 ms": func(s *Spec) {
-			s.Troubles = []TroubleSpec{{Kind: "pauses", At: 2000, Lasts: 3500, Part: 0.5, Size: 80, Every: 900}}
+		"half pause for 80 ms": func(s *Spec) {
+			s.SiteFaults = []SiteFaultSpec{{Kind: "pauses", At: 2000, Duration: 3500, Fraction: 0.5, Delay: 80, Interval: 900}}
+		},
+		"a quarter drains and returns": func(s *Spec) {
+			s.SiteFaults = []SiteFaultSpec{{Kind: "drain", At: 2000, Duration: 3500, Fraction: 0.25}}
 		},
-		"a quarter drains and comes back": func(s *Spec) { s.Troubles = []TroubleSpec{{Kind: "drain", At: 2000, Lasts: 3500, Part: 0.25}} },
 		"a scheduler is killed": func(s *Spec) {
 			s.Schedulers = 3
-			s.Troubles = []TroubleSpec{{Kind: "scheduler", At: 2000, Lasts: 3500}}
+			s.SiteFaults = []SiteFaultSpec{{Kind: "scheduler", At: 2000, Duration: 3500}}
+		},
+		"fast errors": func(s *Spec) {
+			s.SiteFaults = []SiteFaultSpec{{Kind: "errors", At: 2000, Duration: 3500, Fraction: 0.2}}
 		},
-		"fast errors": func(s *Spec) { s.Troubles = []TroubleSpec{{Kind: "errors", At: 2000, Lasts: 3500, Part: 0.2}} },
-		"the wide share swings": func(s *Spec) {
-			s.Troubles = []TroubleSpec{{Kind: "wide", At: 0, Lasts: 8000, Part: 0.4, Every: 1500}}
+		"the share of wide jobs alternates": func(s *Spec) {
+			s.SiteFaults = []SiteFaultSpec{{Kind: "wide", At: 0, Duration: 8000, Fraction: 0.4, Interval: 1500}}
 			w := units.Share(0.05)
 			s.Wide = &w
 		},
-		"memory is short, 30% of words lost": func(s *Spec) {
+		"memory is short, 30% of datagrams lost": func(s *Spec) {
 			s.DatagramLoss = 0.3
 			s.Kinds[0].Memory, s.Kinds[1].Memory = 8, 8
 			s.Classes[0].Memory, s.Classes[1].Memory = 0.9, 1.2
@@ -71,11 +75,11 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			plan := room.Default()
-			s := shop()
+			s := smallSite()
 			change(s)
-			r := play(t, s, 11, &plan)
-			require.Empty(t, r.Broken)
-			require.Greater(t, r.Small.Asked, 1000)
+			r := simulate(t, s, 11, &plan)
+			require.Empty(t, r.Violations)
+			require.Greater(t, r.Small.Requests, 1000)
 			if name != "overload" {
 				require.Positive(t, r.Room.Held)
 			}
@@ -83,19 +87,19 @@
 	}
 }
 
-func TestWorkerServesInItsOrder(t *testing.T) {
-	for order, want := range map[Order][]uint64{FIFO: {1, 2, 3, 4}, Fits: {1, 3, 2, 4}, Priority: {1, 4, 2, 3}} {
+func TestWorkerQueueOrder(t *testing.T) {
+	for order, want := range map[QueueOrder][]uint64{FIFO: {1, 2, 3, 4}, Backfill: {1, 3, 2, 4}, ByPriority: {1, 4, 2, 3}} {
 		w := NewWorker(WorkerSpec{Slots: 4, Speed: 1, Queue: 9, Order: order}, 1)
 		for i, j := range []Job{{Slots: 2, Work: 10}, {Slots: 4, Work: 10}, {Slots: 1, Work: 10}, {Slots: 4, Work: 10, Priority: 1}} {
 			j.Ref = uint64(i + 1)
-			require.Equal(t, Taken, w.Offer(0, j))
+			require.Equal(t, Accepted, w.Offer(0, j))
 			if i == 0 {
-				w.Advance(0, func(float64, Note) {})
+				w.Advance(0, func(float64, JobEvent) {})
 			}
 		}
 		got := []uint64{1}
 		for now := 0.0; now < 100; now++ {
-			w.Advance(now, func(_ float64, n Note) {
+			w.Advance(now, func(_ float64, n JobEvent) {
 				if n.Kind == Started {
 					got = append(got, n.Ref)
 				}
@@ -105,83 +109,83 @@
 	}
 }
 
-func TestColdWorkerFallsOver(t *testing.T) {
-	w := NewWorker(WorkerSpec{Slots: 4, Speed: 1, Queue: 1000, ColdFrom: 0.2, ColdFor: 10_000, FallMultiple: 3, FallWindow: 1000}, 1)
+func TestColdWorkerCollapses(t *testing.T) {
+	w := NewWorker(WorkerSpec{Slots: 4, Speed: 1, Queue: 1000, ColdSpeed: 0.2, ColdDuration: 10_000, OverloadMultiple: 3, OverloadWindow: 1000}, 1)
 	w.Restart(1000)
-	require.InDelta(t, 0.2, w.Warmth(1000), 1e-9)
-	require.InDelta(t, 0.6, w.Warmth(6000), 1e-9)
+	require.InDelta(t, 0.2, w.SpeedShare(1000), 1e-9)
+	require.InDelta(t, 0.6, w.SpeedShare(6000), 1e-9)
 	taken := 0
-	for w.Offer(1100, Job{Slots: 1, Work: 100}) == Taken {
+	for w.Offer(1100, Job{Slots: 1, Work: 100}) == Accepted {
 		taken++
 	}
-	require.True(t, w.Fallen)
-	require.InDelta(t, 26, taken, 2, "3 x 0.2 x 4 slots x 1000 ms, and two jobs of slack")
+	require.True(t, w.Collapsed)
+	require.InDelta(t, 26, taken, 2, "3 x 0.2 x 4 slots x 1000 ms / 100 ms, and two jobs of slack")
 }
 
-var minute = flag.Bool("emulator.minute", false, "play a whole minute of the shop at full size")
+var runFullMinute = flag.Bool("emulator.minute", false, "simulate a whole minute of the full-size site")
 
-// A minute of the shop at full size takes at most a minute on a machine of its own. It is a measurement: run it
-// with -emulator.minute.
-func TestAMinuteOfFullSize(t *testing.T) {
-	if !*minute {
-		t.Skip("a measurement")
+// Simulating a minute of the full-size site must take at most a minute on an otherwise idle machine. The test runs
+// only with -emulator.minute, as it is a measurement.
+func TestFullSizeMinute(t *testing.T) {
+	if !*runFullMinute {
+		t.Skip("a measurement; run with -emulator.minute")
 	}
 	begin := time.Now()
-	r := play(t, full(), 3, nil)
+	r := simulate(t, fullSizeSite(), 3, nil)
 	took := time.Since(begin)
-	t.Logf("%d requests, %d datagrams in %v", r.Small.Asked+r.Large.Asked, r.Datagrams, took)
-	require.Empty(t, r.Broken)
+	t.Logf("%d requests, %d datagrams in %v", r.Small.Requests+r.Large.Requests, r.Datagrams, took)
+	require.Empty(t, r.Violations)
 	require.Less(t, took, time.Minute)
 }
 
-// Beyond its allowance a tenant's requests are worth less, and a second's worth may come at once.
+// Requests beyond a tenant's allowance have less value. A burst of the allowance of one second is within it.
 func TestAllowances(t *testing.T) {
-	s := shop()
-	s.Tenants, s.BeyondWorth = []TenantSpec{{Name: "a", Share: 0.8, Allowance: 100}, {Name: "b", Share: 0.2}}, 0.1
+	s := smallSite()
+	s.Tenants, s.BeyondAllowanceValue = []TenantSpec{{Name: "a", Share: 0.8, Allowance: 100}, {Name: "b", Share: 0.2}}, 0.1
 	require.NoError(t, s.Check())
 	within := map[string]int{}
 	all := s.Arrivals(3)
 	for _, a := range all {
-		if !a.Beyond {
+		if !a.BeyondAllowance {
 			within[a.Tenant]++
 		}
 	}
-	require.InDelta(t, 100*9, within["a"], 2, "eight seconds, and the burst")
-	require.Greater(t, within["b"], len(all)/6, "one without an allowance keeps within it")
-	r := play(t, s, 3, nil)
-	require.Greater(t, r.Within.Asked, r.Within.Served-1)
-	require.Less(t, r.Within.Asked, r.Small.Asked+r.Large.Asked)
+	require.InDelta(t, 100*9, within["a"], 2, "the allowance of eight seconds, and the burst of one second")
+	require.Greater(t, within["b"], len(all)/6, "a tenant without an allowance never exceeds it")
+	r := simulate(t, s, 3, nil)
+	require.Greater(t, r.WithinAllowance.Requests, r.WithinAllowance.Served-1)
+	require.Less(t, r.WithinAllowance.Requests, r.Small.Requests+r.Large.Requests)
 	require.Greater(t, r.Worth, 0.5)
 	require.LessOrEqual(t, r.Worth, 1.0)
 }
 
-// The shop at full size: 300 schedulers and 200 workers in four zones, each scheduler with some
-// requests a second, words lost and seven in ten schedulers killed at once.
+// The full-size site has 300 schedulers and 200 workers in four zones, and each scheduler receives some requests per
+// second. Datagrams are lost, and 70% of the schedulers are killed at the same time.
 func TestFullSize(t *testing.T) {
 	if testing.Short() {
-		t.Skip("takes some seconds")
+		t.Skip("takes several seconds")
 	}
-	s := full()
+	s := fullSizeSite()
 	s.Length, s.Warmup = 6000, 2000
 	s.Faults = faults.Script{{Kind: faults.Loss, Lasts: 6000, Share: 0.05}, {Kind: faults.Kill, At: 3000, Lasts: 500}}
 	for i := range s.Schedulers * 7 / 10 {
 		s.Faults[1].From = append(s.Faults[1].From, i)
 	}
-	r := play(t, s, 3, nil)
-	require.Empty(t, r.Broken)
-	require.Greater(t, r.Small.Asked, 5000)
+	r := simulate(t, s, 3, nil)
+	require.Empty(t, r.Violations)
+	require.Greater(t, r.Small.Requests, 5000)
 	require.Greater(t, r.Small.Share(), 0.8)
 	perSend := float64(r.Datagrams) / float64(r.Sends)
-	t.Logf("%d requests: %.3f in time, %.0f%% of sends cross zones, %.1f datagrams for each", r.Small.Asked, r.Small.Share(), 100*float64(r.Far)/float64(r.Sends), perSend)
+	t.Logf("%d requests: %.3f within the latency target, %.0f%% of sends cross zones, %.1f datagrams per send", r.Small.Requests, r.Small.Share(), 100*float64(r.CrossZone)/float64(r.Sends), perSend)
 	require.Less(t, perSend, 60.0)
-	require.Less(t, float64(r.Far), 0.3*float64(r.Sends))
+	require.Less(t, float64(r.CrossZone), 0.3*float64(r.Sends))
 }
 
-func full() *Spec {
+func fullSizeSite() *Spec {
 	return &Spec{Schedulers: 300, Zones: []string{"a", "b", "c", "d"}, Level: 0.6, Length: 60_000, Warmup: 2000, NetDelay: 0.5, DatagramDelay: 3,
-		ReportDelay: 60, ReportNoise: 0.08, ListDelay: 300,
-		Kinds: []KindSpec{{Name: "fast", Count: 100, Slots: 4, Speed: 1.5, Queue: 16, ColdFor: 10_000}, {Name: "slow", Count: 100, Slots: 4, Speed: 0.9, Queue: 16, ColdFor: 10_000}},
+		ReportDelay: 60, ReportNoise: 0.08, DiscoveryDelay: 300,
+		Kinds: []KindSpec{{Name: "fast", Count: 100, Slots: 4, Speed: 1.5, Queue: 16, ColdDuration: 10_000}, {Name: "slow", Count: 100, Slots: 4, Speed: 0.9, Queue: 16, ColdDuration: 10_000}},
 		Classes: []ClassSpec{
-			{Name: "shop-view", Share: 0.7, Runs: 100, Spread: 0.5, Aim: 75, Stretch: 2, Worth: 5},
-			{Name: "purchase", Share: 0.3, Runs: 100, Spread: 0.4, Slots: []SlotShare{{1, 0.7}, {2, 0.3}}, Aim: 75, Stretch: 2.5, Worth: 3, Keyed: true}}}
+			{Name: "shop-view", Share: 0.7, RunTime: 100, RunTimeVariation: 0.5, LatencyTarget: 75, TargetStretch: 2, Value: 5},
+			{Name: "purchase", Share: 0.3, RunTime: 100, RunTimeVariation: 0.4, Slots: []SlotShare{{1, 0.7}, {2, 0.3}}, LatencyTarget: 75, TargetStretch: 2.5, Value: 3, Keyed: true}}}
 }
--- a/internal/shopfront/clients.go
+++ b/internal/shopfront/clients.go
@@ -57,21 +57,21 @@
 			case 429, 503:
 				res.Refused++
 			case 0:
-				if a.Leaves > 0 {
-					res.Left++
+				if a.DepartsAfter > 0 {
+					res.Departed++
 					return
 				}
 				res.Lost++
 			default:
 				res.Failed++
 			}
-			if a.At >= float64(s.spec.Warmup) && a.Leaves == 0 {
+			if a.At >= float64(s.spec.Warmup) && a.DepartsAfter == 0 {
 				res.Add(s.spec, a, took, status == 200)
 			}
 		})
 	}
 	all.Wait()
-	res.Broken = s.Broken()
+	res.Violations = s.Broken()
 	_, res.Room.Held = s.Held()
 	res.Finish()
 	return res
@@ -92,13 +92,13 @@
 func (s *Shop) ask(ctx context.Context, client *http.Client, i int, a *emulator.Arrival, due float64) (status int, took float64) {
 	c := &s.spec.Classes[a.Class]
 	for try := 0; ; try++ {
-		left := due + float64(c.Patience) - s.now()
+		left := due + float64(c.ClientTimeout) - s.now()
 		if left <= 5 {
 			return status, math.Inf(1)
 		}
 		wait := left
-		if a.Leaves > 0 {
-			wait = min(wait, a.Leaves)
+		if a.DepartsAfter > 0 {
+			wait = min(wait, a.DepartsAfter)
 		}
 		inner, cancel := context.WithTimeout(ctx, time.Duration((wait+60)*1e6))
 		node := s.scheds[(a.Scheduler+try)%len(s.scheds)]
@@ -132,10 +132,10 @@
 		}
 		cancel()
 		took = s.now() - due
-		if took > float64(c.Patience)+120 && a.Leaves == 0 {
+		if took > float64(c.ClientTimeout)+120 && a.DepartsAfter == 0 {
 			s.breaks("answer-late")
 		}
-		again := (status == 429 || status == 503) && try < s.spec.Retries && a.Leaves == 0
+		again := (status == 429 || status == 503) && try < s.spec.Retries && a.DepartsAfter == 0
 		if !again || ctx.Err() != nil {
 			return status, took
 		}
@@ -146,28 +146,28 @@
 // for whoever started them.
 func (s *Shop) script(seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 0x7ab))
-	for _, t := range s.spec.Troubles {
-		n := int(math.Ceil(float64(t.Part) * float64(len(s.workers))))
+	for _, t := range s.spec.SiteFaults {
+		n := int(math.Ceil(float64(t.Fraction) * float64(len(s.workers))))
 		for _, i := range rng.Perm(len(s.workers))[:min(n, len(s.workers))] {
 			w := s.workers[i]
-			at, end := float64(t.At), float64(t.At+t.Lasts)
+			at, end := float64(t.At), float64(t.At+t.Duration)
 			switch t.Kind {
 			case "crash":
 				s.later(at, func() {
-					w.with(func(now float64) { w.Kill(now, func(_ float64, n emulator.Note) { w.note(n) }) })
+					w.with(func(now float64) { w.Kill(now, func(_ float64, n emulator.JobEvent) { w.note(n) }) })
 					w.become("DELETED")
 				})
 				s.later(end, func() { w.with(w.Restart); w.become("SERVING") })
 			case "errors":
-				s.later(at, func() { w.with(func(float64) { w.FailPart = 0.7 }) })
-				s.later(end, func() { w.with(func(float64) { w.FailPart = 0 }) })
+				s.later(at, func() { w.with(func(float64) { w.FailShare = 0.7 }) })
+				s.later(end, func() { w.with(func(float64) { w.FailShare = 0 }) })
 			case "drain":
 				s.later(at, func() { w.become("DRAINING") })
 				s.later(end, func() { w.become("SERVING") })
 			case "pauses":
-				for x := at; x < end; x += float64(max(t.Every, 100)) * (0.5 + rng.Float64()) {
+				for x := at; x < end; x += float64(max(t.Interval, 100)) * (0.5 + rng.Float64()) {
 					s.later(x, func() {
-						w.with(func(now float64) { w.Still(now, float64(t.Size)); w.due = math.Inf(1); w.advance(now) })
+						w.with(func(now float64) { w.Pause(now, float64(t.Delay)); w.due = math.Inf(1); w.advance(now) })
 					})
 				}
 			}
--- a/internal/shopfront/discovery.go
+++ b/internal/shopfront/discovery.go
@@ -29,8 +29,8 @@
 	for _, w := range s.workers {
 		w.mu.Lock()
 		since := 0.0
-		if w.Born > 0 {
-			since = s.base + w.Born
+		if w.StartedAt > 0 {
+			since = s.base + w.StartedAt
 		}
 		if w.state != "DELETED" {
 			l.Endpoints = append(l.Endpoints, entry{w.spec.ID, w.lns[i].Addr().String(), w.spec.Zone, w.spec.Kind, w.spec.Cell, w.state, 1, since})
--- a/internal/shopfront/shopfront.go
+++ b/internal/shopfront/shopfront.go
@@ -360,9 +360,9 @@
 		if c.Keyed {
 			sem, scope = "keyed", "cell"
 		}
-		classes = append(classes, map[string]any{"name": c.Name, "semantics": sem, "key-scope": scope, "aim-us": 1000 * float64(c.Aim),
-			"deadline-us": 1000 * float64(c.Patience), "memory-span-us": 1000 * float64(c.Window), "worth": c.Worth, "streaming": false, "late-value": 0})
-		stretch, kind = append(stretch, c.Stretch), append(kind, -1)
+		classes = append(classes, map[string]any{"name": c.Name, "semantics": sem, "key-scope": scope, "aim-us": 1000 * float64(c.LatencyTarget),
+			"deadline-us": 1000 * float64(c.ClientTimeout), "memory-span-us": 1000 * float64(c.KeyWindow), "worth": c.Value, "streaming": false, "late-value": 0})
+		stretch, kind = append(stretch, c.TargetStretch), append(kind, -1)
 	}
 	for _, t := range spec.Tenants {
 		tenants = append(tenants, map[string]any{"name": t.Name, "share": float64(t.Share), "allowance-per-s": t.Allowance})
--- a/internal/shopfront/shopfront_test.go
+++ b/internal/shopfront/shopfront_test.go
@@ -24,7 +24,7 @@
 func shop(t *testing.T, listen ...string) *Shop {
 	spec := &emulator.Spec{Schedulers: 2, Level: 0.2, Length: 1000, Retries: 1,
 		Kinds:   []emulator.KindSpec{{Name: "m", Count: 2, Slots: 2, Queue: 1, Memory: 4}},
-		Classes: []emulator.ClassSpec{{Name: "buy", Share: 1, Runs: 20, Aim: 100, Stretch: 2, Keyed: true}}}
+		Classes: []emulator.ClassSpec{{Name: "buy", Share: 1, RunTime: 20, LatencyTarget: 100, TargetStretch: 2, Keyed: true}}}
 	s, err := Open(spec, 1, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	require.NoError(t, err)
 	t.Cleanup(s.Close)
--- a/internal/shopfront/worker.go
+++ b/internal/shopfront/worker.go
@@ -18,7 +18,7 @@
 func (w *worker) become(state string) {
 	s := w.shop
 	s.mu.Lock()
-	delay := float64(s.spec.ListDelay) * (0.5 + s.rng.Float64())
+	delay := float64(s.spec.DiscoveryDelay) * (0.5 + s.rng.Float64())
 	s.mu.Unlock()
 	s.later(delay, func() {
 		w.mu.Lock()
@@ -59,7 +59,7 @@
 			return
 		case r.URL.Path == "/alive" || r.URL.Path == "/metrics/load":
 			w.mu.Lock()
-			up := w.Up && !w.Fallen
+			up := w.Up && !w.Collapsed
 			rw.Header().Set("X-Pressure", w.report())
 			w.mu.Unlock()
 			if !up {
@@ -109,29 +109,29 @@
 	if w.told > 0 && w.heard[sched] > 0 && sentAt > w.heard[sched]+250+50 {
 		s.breaks("send-to-draining")
 	}
-	if !w.Up || w.Fallen {
+	if !w.Up || w.Collapsed {
 		w.mu.Unlock()
 		w.reset(rw)
 		return
 	}
 	w.advance(now)
-	fell := w.Fallen
+	fell := w.Collapsed
 	w.last++
 	ans := w.Offer(now, emulator.Job{Ref: w.last, Slots: a.Slots, Memory: a.Memory, Work: a.Work, Priority: s.spec.Classes[a.Class].Priority})
-	if w.Fallen && !fell {
+	if w.Collapsed && !fell {
 		s.breaks("cold-pushed-over")
 	}
-	if ans == emulator.Taken || ans == emulator.Failed {
+	if ans == emulator.Accepted || ans == emulator.Failed {
 		s.began(id, w, a, now)
 	}
 	load := w.report()
-	if ans == emulator.Taken {
+	if ans == emulator.Accepted {
 		w.jobs[w.last] = &job{id: id, sched: sched, a: a}
 	}
 	w.mu.Unlock()
 	rw.Header().Set("X-Pressure", load)
 	switch ans {
-	case emulator.Taken:
+	case emulator.Accepted:
 		rw.WriteHeader(http.StatusAccepted)
 		// Only now may it start: its call-backs come after the 202.
 		if err := http.NewResponseController(rw).Flush(); err != nil {
@@ -140,13 +140,13 @@
 		w.mu.Lock()
 		w.advance(s.now())
 		w.mu.Unlock()
-	case emulator.Full:
+	case emulator.Rejected:
 		rw.Header().Set("X-Turned-Away", "1")
 		rw.WriteHeader(http.StatusServiceUnavailable)
 	case emulator.Failed:
 		s.ended(id)
 		rw.WriteHeader(http.StatusInternalServerError)
-	case emulator.Away:
+	case emulator.Unreachable:
 		w.reset(rw)
 	}
 }
@@ -168,7 +168,7 @@
 	}
 	if c := &s.spec.Classes[a.Class]; c.Keyed {
 		for _, x := range t.sends {
-			if x.cell != w.spec.Cell || now-x.at > float64(c.Window)+50 {
+			if x.cell != w.spec.Cell || now-x.at > float64(c.KeyWindow)+50 {
 				s.broken["keyed-repeat-elsewhere"]++
 			}
 		}
@@ -188,8 +188,8 @@
 // advance plays the model to the present and sets the timer for what comes next. The
 // worker's lock is held.
 func (w *worker) advance(now float64) {
-	w.Advance(now, func(_ float64, n emulator.Note) { w.note(n) })
-	next := w.Next(now)
+	w.Advance(now, func(_ float64, n emulator.JobEvent) { w.note(n) })
+	next := w.NextEvent(now)
 	if math.IsInf(next, 1) {
 		return
 	}
@@ -208,7 +208,7 @@
 }
 
 // note tells a scheduler what became of a job. The worker's lock is held.
-func (w *worker) note(n emulator.Note) {
+func (w *worker) note(n emulator.JobEvent) {
 	j := w.jobs[n.Ref]
 	if j == nil {
 		return
@@ -264,7 +264,7 @@
 // figures are what the worker reports of itself: a while old, and noisy. Its lock is held.
 func (w *worker) figures() map[string]float64 {
 	s, now := w.shop, w.shop.now()
-	if now-w.loads > float64(s.spec.ReportEvery) {
+	if now-w.loads > float64(s.spec.ReportInterval) {
 		w.loads = now
 		w.load = w.next
 		w.next = w.Load()
@@ -284,7 +284,7 @@
 		defer s.mu.Unlock()
 		return math.Max(0, math.Round(100*x*(1+float64(s.spec.ReportNoise)*s.rng.NormFloat64()))/100)
 	}
-	f := map[string]float64{"inflight": noise(w.load.InFlight), "queue": noise(w.load.Queue), "x0": noise(w.load.FreeSlots)}
+	f := map[string]float64{"inflight": noise(w.load.InFlight), "queue": noise(w.load.Queued), "x0": noise(w.load.FreeSlots)}
 	if w.spec.Memory > 0 {
 		f["x1"] = noise(w.load.FreeMemory)
 	}
@@ -292,9 +292,9 @@
 }
 
 func (s *Shop) late(now float64) (ms float64) {
-	for _, t := range s.spec.Troubles {
-		if t.Kind == "late-reports" && now >= float64(t.At) && now < float64(t.At+t.Lasts) {
-			ms += float64(t.Size)
+	for _, t := range s.spec.SiteFaults {
+		if t.Kind == "late-reports" && now >= float64(t.At) && now < float64(t.At+t.Duration) {
+			ms += float64(t.Delay)
 		}
 	}
 	return ms
