--- a/internal/shopfront/clients.go
+++ b/internal/shopfront/clients.go
@@ -15,69 +15,70 @@
 	"cottonwell/internal/emulator"
 )
 
-// Play sends the spec's load, each request at its time, and returns what came of it. It ends
-// when the last is answered or ctx does. Each call to seen, if there is one, tells of one
-// request that is over.
-func (s *Shop) Play(ctx context.Context, seed uint64, seen func(status int)) *emulator.Result {
-	res := emulator.NewResult(s.spec)
+// Play sends the load, each request at its arrival time, and returns the result. It returns after the
+// final response of the last request, or stops sending when ctx is done. If onFinished is not nil, Play
+// calls it with the status of each finished request; 0 means no response.
+func (s *Shop) Play(ctx context.Context, seed uint64, onFinished func(status int)) *emulator.Result {
+	result := emulator.NewResult(s.spec)
 	s.mu.Lock()
 	s.arrivals = s.spec.Arrivals(seed)
 	arrivals := s.arrivals
-	clear(s.attempts)
-	begin := s.now()
-	s.played = begin
+	clear(s.requests)
+	loadStart := s.now()
+	s.loadStart = loadStart
 	s.mu.Unlock()
-	s.script(seed)
+	s.scheduleFaults(seed)
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256, IdleConnTimeout: 10 * time.Second, DisableCompression: true}}
 	defer client.CloseIdleConnections()
 	var mu sync.Mutex
-	var all sync.WaitGroup
+	var inFlight sync.WaitGroup
 	for i := range arrivals {
 		a := &arrivals[i]
-		if wait := begin + a.At - s.now(); wait > 0 {
+		if untilArrival := loadStart + a.At - s.now(); untilArrival > 0 {
 			select {
 			case <-ctx.Done():
-			case <-time.After(time.Duration(wait * 1e6)):
+			case <-time.After(time.Duration(untilArrival * 1e6)):
 			}
 		}
 		if ctx.Err() != nil {
 			break
 		}
-		all.Go(func() {
-			// Late starts of this program count against the scheduler, not for it: the time
-			// of a request runs from when it should have come.
-			status, took := s.ask(ctx, client, i, a, begin+a.At)
-			if seen != nil {
-				seen(status)
+		inFlight.Go(func() {
+			// The latency counts from the scheduled arrival. A late send by this program thus
+			// increases the measured latency and never hides a delay.
+			status, latency := s.request(ctx, client, i, a, loadStart+a.At)
+			if onFinished != nil {
+				onFinished(status)
 			}
 			mu.Lock()
 			defer mu.Unlock()
 			switch status {
 			case 200:
 			case 429, 503:
-				res.Refused++
+				result.Refused++
 			case 0:
 				if a.DepartsAfter > 0 {
-					res.Departed++
+					result.Departed++
 					return
 				}
-				res.Lost++
+				result.Lost++
 			default:
-				res.Failed++
+				result.Failed++
 			}
 			if a.At >= float64(s.spec.Warmup) && a.DepartsAfter == 0 {
-				res.Add(s.spec, a, took, status == 200)
+				result.Add(s.spec, a, latency, status == 200)
 			}
 		})
 	}
-	all.Wait()
-	res.Violations = s.Broken()
-	_, res.Room.Held = s.Held()
-	res.Finish()
-	return res
+	inFlight.Wait()
+	result.Violations = s.Broken()
+	_, result.Room.Held = s.Held()
+	result.Finish()
+	return result
 }
 
-// arrival finds a request's own by the id that ask gave it. The shop's lock is held.
+// arrival returns the arrival for a request ID that request assigned, or nil if the ID is unknown.
+// The caller must hold mu.
 func (s *Shop) arrival(id string) *emulator.Arrival {
 	text, _, ok := strings.Cut(id, "-")
 	n, err := strconv.ParseUint(text, 16, 32)
@@ -87,32 +88,32 @@
 	return &s.arrivals[n]
 }
 
-// ask sends one request, and again at once if it is refused and the client does that. It
-// returns the last status, 0 for none, and the milliseconds since the request was due.
-func (s *Shop) ask(ctx context.Context, client *http.Client, i int, a *emulator.Arrival, due float64) (status int, took float64) {
+// request sends one request. It retries a refused request immediately if the client has retries left. It
+// returns the last status, 0 for no response, and the milliseconds since arrivesAt.
+func (s *Shop) request(ctx context.Context, client *http.Client, i int, a *emulator.Arrival, arrivesAt float64) (status int, latency float64) {
 	c := &s.spec.Classes[a.Class]
 	for try := 0; ; try++ {
-		left := due + float64(c.ClientTimeout) - s.now()
-		if left <= 5 {
+		remaining := arrivesAt + float64(c.ClientTimeout) - s.now()
+		if remaining <= 5 {
 			return status, math.Inf(1)
 		}
-		wait := left
+		timeout := remaining
 		if a.DepartsAfter > 0 {
-			wait = min(wait, a.DepartsAfter)
+			timeout = min(timeout, a.DepartsAfter)
 		}
-		inner, cancel := context.WithTimeout(ctx, time.Duration((wait+60)*1e6))
-		node := s.scheds[(a.Scheduler+try)%len(s.scheds)]
+		requestCtx, cancel := context.WithTimeout(ctx, time.Duration((timeout+60)*1e6))
+		node := s.schedulers[(a.Scheduler+try)%len(s.schedulers)]
 		if try == 0 {
-			node = s.scheds[a.Scheduler]
+			node = s.schedulers[a.Scheduler]
 		}
-		req, err := http.NewRequestWithContext(inner, "POST", "http://"+node.Listen+"/"+c.Name, strings.NewReader(`{"item":"bat"}`))
+		req, err := http.NewRequestWithContext(requestCtx, "POST", "http://"+node.Listen+"/"+c.Name, strings.NewReader(`{"item":"bat"}`))
 		if err != nil {
 			cancel()
 			return 0, 0
 		}
 		req.Header.Set("X-Txn", fmt.Sprintf("%08x-%d", i, try))
 		req.Header.Set("X-Org", a.Tenant)
-		req.Header.Set("X-Remaining", strconv.FormatFloat(left, 'f', 3, 64)+"m")
+		req.Header.Set("X-Remaining", strconv.FormatFloat(remaining, 'f', 3, 64)+"m")
 		labels := fmt.Sprintf("slots=%d", a.Slots)
 		if a.Memory > 0 {
 			labels += fmt.Sprintf(",ram-units=%.2f", a.Memory)
@@ -124,27 +125,27 @@
 		resp, err := client.Do(req)
 		status = 0
 		if err == nil {
-			// A body that breaks off is no answer.
+			// A response with an incomplete body is not a valid response.
 			if _, err = io.Copy(io.Discard, resp.Body); err == nil {
 				status = resp.StatusCode
 			}
 			resp.Body.Close()
 		}
 		cancel()
-		took = s.now() - due
-		if took > float64(c.ClientTimeout)+120 && a.DepartsAfter == 0 {
-			s.breaks("answer-late")
+		latency = s.now() - arrivesAt
+		if latency > float64(c.ClientTimeout)+120 && a.DepartsAfter == 0 {
+			s.recordViolation("answer-late")
 		}
-		again := (status == 429 || status == 503) && try < s.spec.Retries && a.DepartsAfter == 0
-		if !again || ctx.Err() != nil {
-			return status, took
+		retry := (status == 429 || status == 503) && try < s.spec.Retries && a.DepartsAfter == 0
+		if !retry || ctx.Err() != nil {
+			return status, latency
 		}
 	}
 }
 
-// script puts the troubles of the spec into the time from now on. Those of schedulers are
-// for whoever started them.
-func (s *Shop) script(seed uint64) {
+// scheduleFaults schedules the faults of the workers, relative to now. Faults of scheduler processes are up
+// to the caller that started these processes.
+func (s *Shop) scheduleFaults(seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 0x7ab))
 	for _, t := range s.spec.SiteFaults {
 		n := int(math.Ceil(float64(t.Fraction) * float64(len(s.workers))))
@@ -153,21 +154,21 @@
 			at, end := float64(t.At), float64(t.At+t.Duration)
 			switch t.Kind {
 			case "crash":
-				s.later(at, func() {
-					w.with(func(now float64) { w.Kill(now, func(_ float64, n emulator.JobEvent) { w.note(n) }) })
-					w.become("DELETED")
+				s.afterMillis(at, func() {
+					w.withLock(func(now float64) { w.Kill(now, func(_ float64, n emulator.JobEvent) { w.handleJobEvent(n) }) })
+					w.announce("DELETED")
 				})
-				s.later(end, func() { w.with(w.Restart); w.become("SERVING") })
+				s.afterMillis(end, func() { w.withLock(w.Restart); w.announce("SERVING") })
 			case "errors":
-				s.later(at, func() { w.with(func(float64) { w.FailShare = 0.7 }) })
-				s.later(end, func() { w.with(func(float64) { w.FailShare = 0 }) })
+				s.afterMillis(at, func() { w.withLock(func(float64) { w.FailShare = 0.7 }) })
+				s.afterMillis(end, func() { w.withLock(func(float64) { w.FailShare = 0 }) })
 			case "drain":
-				s.later(at, func() { w.become("DRAINING") })
-				s.later(end, func() { w.become("SERVING") })
+				s.afterMillis(at, func() { w.announce("DRAINING") })
+				s.afterMillis(end, func() { w.announce("SERVING") })
 			case "pauses":
 				for x := at; x < end; x += float64(max(t.Interval, 100)) * (0.5 + rng.Float64()) {
-					s.later(x, func() {
-						w.with(func(now float64) { w.Pause(now, float64(t.Delay)); w.due = math.Inf(1); w.advance(now) })
+					s.afterMillis(x, func() {
+						w.withLock(func(now float64) { w.Pause(now, float64(t.Delay)); w.nextEventAt = math.Inf(1); w.advance(now) })
 					})
 				}
 			}
@@ -175,8 +176,9 @@
 	}
 }
 
-func (w *worker) with(do func(now float64)) {
+// withLock calls do with the current time while it holds the worker's lock.
+func (w *worker) withLock(do func(now float64)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	do(w.shop.now())
+	do(w.site.now())
 }
--- a/internal/shopfront/discovery.go
+++ b/internal/shopfront/discovery.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-type entry struct {
+// listEntry is one worker in the discovery list.
+type listEntry struct {
 	Name    string  `json:"name"`
 	Address string  `json:"address"`
 	Zone    string  `json:"zone"`
@@ -17,30 +18,34 @@
 	SinceMS float64 `json:"since_ms"`
 }
 
-type list struct {
-	Index     int     `json:"index"`
-	Snapshot  bool    `json:"snapshot"`
-	Endpoints []entry `json:"endpoints"`
+// discoveryList is the body of a discovery response.
+type discoveryList struct {
+	Index     int         `json:"index"`
+	Snapshot  bool        `json:"snapshot"`
+	Endpoints []listEntry `json:"endpoints"`
 }
 
-// list is discovery's word for a scheduler: the whole, as nobody needs to know what changed.
-func (s *Shop) list(i, index int) list {
-	l := list{Index: index, Snapshot: true}
+// discoveryList returns the list for a scheduler. It is always a whole snapshot, as no scheduler requires the
+// changes alone.
+func (s *Shop) discoveryList(scheduler, index int) discoveryList {
+	result := discoveryList{Index: index, Snapshot: true}
 	for _, w := range s.workers {
 		w.mu.Lock()
 		since := 0.0
 		if w.StartedAt > 0 {
-			since = s.base + w.StartedAt
+			since = s.startUnixMillis + w.StartedAt
 		}
 		if w.state != "DELETED" {
-			l.Endpoints = append(l.Endpoints, entry{w.spec.ID, w.lns[i].Addr().String(), w.spec.Zone, w.spec.Kind, w.spec.Cell, w.state, 1, since})
+			result.Endpoints = append(result.Endpoints, listEntry{w.spec.ID, w.listeners[scheduler].Addr().String(), w.spec.Zone, w.spec.Kind, w.spec.Cell, w.state, 1, since})
 		}
 		w.mu.Unlock()
 	}
-	return l
+	return result
 }
 
-func (s *Shop) discovery(i int) http.Handler {
+// discoveryHandler serves the list to one scheduler. A watch receives a new list after each change, and an empty
+// line every 2 s otherwise.
+func (s *Shop) discoveryHandler(scheduler int) http.Handler {
 	return http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/discovery/hosts" {
 			http.NotFound(rw, r)
@@ -49,29 +54,29 @@
 		watch := r.URL.Query().Get("watch") == "1"
 		for {
 			s.mu.Lock()
-			index, changed := s.index, s.changed
+			index, changed := s.listIndex, s.listChanged
 			s.mu.Unlock()
-			since := s.now()
-			data, err := json.Marshal(s.list(i, index))
+			listTime := s.now()
+			data, err := json.Marshal(s.discoveryList(scheduler, index))
 			if err != nil {
-				s.log.Error("emulated shop: discovery", "cause", err)
+				s.log.Error("emulated site: encoding of the discovery list failed", "cause", err)
 				return
 			}
 			if _, err := rw.Write(append(data, '\n')); err != nil || !watch {
 				return
 			}
-			for beat := true; beat; {
+			for unchanged := true; unchanged; {
 				if err := http.NewResponseController(rw).Flush(); err != nil {
 					return
 				}
-				s.tells(i, since)
+				s.recordNotified(scheduler, listTime)
 				select {
 				case <-r.Context().Done():
 					return
 				case <-s.ctx.Done():
 					return
 				case <-changed:
-					beat = false
+					unchanged = false
 				case <-time.After(2 * time.Second):
 					if _, err := rw.Write([]byte("\n")); err != nil {
 						return
@@ -82,23 +87,24 @@
 	})
 }
 
-// tells notes that a scheduler was told of the list as it stood at a time.
-func (s *Shop) tells(i int, since float64) {
+// recordNotified records that a scheduler received the list of the given time.
+func (s *Shop) recordNotified(scheduler int, listTime float64) {
 	for _, w := range s.workers {
-		w.with(func(now float64) {
-			if w.told > 0 && w.told <= since && w.heard[i] == 0 {
-				w.heard[i] = now
+		w.withLock(func(now float64) {
+			if w.notReadySince > 0 && w.notReadySince <= listTime && w.notifiedAt[scheduler] == 0 {
+				w.notifiedAt[scheduler] = now
 			}
 		})
 	}
 }
 
-// Woke tells that a scheduler's process goes on after it stood still: what it was told meanwhile it hears now.
-func (s *Shop) Woke(i int) {
+// Woke must be called when a scheduler's process continues after a stall. Changes sent during the stall count as
+// received now.
+func (s *Shop) Woke(scheduler int) {
 	for _, w := range s.workers {
-		w.with(func(now float64) {
-			if w.heard[i] > 0 {
-				w.heard[i] = now
+		w.withLock(func(now float64) {
+			if w.notifiedAt[scheduler] > 0 {
+				w.notifiedAt[scheduler] = now
 			}
 		})
 	}
--- a/internal/shopfront/ways.go
+++ b/internal/shopfront/ways.go
@@ -11,44 +11,45 @@
 	"cottonwell/internal/faults"
 )
 
-// errBroken ends a connection on a way that is broken.
-var errBroken = errors.New("the way is broken")
+// errLinkBroken is returned for a connection whose link is broken by a fault.
+var errLinkBroken = errors.New("link is broken by a fault")
 
-// way listens for one scheduler at discovery's end or a target's, and puts the script's faults on the
-// connections between them.
-type way struct {
+// linkListener accepts the connections of one scheduler to discovery or to a target, and applies the faults of the
+// script to them.
+type linkListener struct {
 	net.Listener
-	shop          *Shop
-	ways          string // faults.Discovery or faults.Targets
-	sched, target int
+	site              *Shop
+	linkKind          string // faults.Discovery or faults.Targets
+	scheduler, target int
 }
 
 // Accept implements net.Listener.
-func (l *way) Accept() (net.Conn, error) {
+func (l *linkListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &wayConn{Conn: c, way: l, closed: make(chan struct{})}, nil
+	return &linkConn{Conn: c, link: l, closed: make(chan struct{})}, nil
 }
 
-type wayConn struct {
+// linkConn is a connection that is subject to the faults of its link.
+type linkConn struct {
 	net.Conn
-	way    *way
-	once   sync.Once
-	closed chan struct{}
-	cameAt atomic.Uint64 // bits of when what was read last came, before the way held it up
+	link       *linkListener
+	once       sync.Once
+	closed     chan struct{}
+	receivedAt atomic.Uint64 // Float64bits of the time (ms) of the last read, before any delay by a fault
 }
 
-// connKey is where a request's connection is in its context.
+// connKey is the context key of a request's connection.
 type connKey struct{}
 
-// Read implements net.Conn: what came is handed on once the way lets it through.
-func (c *wayConn) Read(b []byte) (int, error) {
+// Read implements net.Conn. It returns data once the faults of the link permit it.
+func (c *linkConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.cameAt.Store(math.Float64bits(c.way.shop.now()))
+	c.receivedAt.Store(math.Float64bits(c.link.site.now()))
 	if err == nil {
-		err = c.pass()
+		err = c.waitForLink()
 	}
 	if err != nil {
 		n = 0
@@ -56,57 +57,58 @@
 	return n, err
 }
 
-// Write implements net.Conn.
-func (c *wayConn) Write(b []byte) (int, error) {
-	if err := c.pass(); err != nil {
+// Write implements net.Conn. It writes data once the faults of the link permit it.
+func (c *linkConn) Write(b []byte) (int, error) {
+	if err := c.waitForLink(); err != nil {
 		return 0, err
 	}
 	return c.Conn.Write(b)
 }
 
 // Close implements net.Conn.
-func (c *wayConn) Close() error {
+func (c *linkConn) Close() error {
 	c.once.Do(func() { close(c.closed) })
 	return c.Conn.Close()
 }
 
-func (c *wayConn) pass() error {
-	err := c.way.shop.pass(c.way.ways, c.way.sched, c.way.target, c.closed)
-	if errors.Is(err, errBroken) {
-		reset(c)
+// waitForLink waits until data may pass. If the link is broken, it resets the connection.
+func (c *linkConn) waitForLink() error {
+	err := c.link.site.waitForLink(c.link.linkKind, c.link.scheduler, c.link.target, c.closed)
+	if errors.Is(err, errLinkBroken) {
+		closeWithReset(c)
 	}
 	return err
 }
 
-// reset ends a connection without a word.
-func reset(c net.Conn) {
-	under := c
-	if w, ok := c.(*wayConn); ok {
-		under = w.Conn
+// closeWithReset closes a connection with a TCP reset and no response.
+func closeWithReset(c net.Conn) {
+	underlying := c
+	if w, ok := c.(*linkConn); ok {
+		underlying = w.Conn
 	}
-	if t, ok := under.(*net.TCPConn); ok {
-		_ = t.SetLinger(0) // else it ends in order, which is no worse
+	if t, ok := underlying.(*net.TCPConn); ok {
+		_ = t.SetLinger(0) // on an error the connection closes in order, which is acceptable
 	}
 	c.Close()
 }
 
-// pass waits until something may pass on a way, or says that it never will: as the way is broken, or closed.
-// Before the load begins nothing is wrong.
-func (s *Shop) pass(ways string, sched, target int, closed <-chan struct{}) error {
-	for late := false; ; {
+// waitForLink waits until data may pass on a link. It returns errLinkBroken if a fault breaks the link, and net.ErrClosed if
+// the connection or the site is closed. Before the load starts there are no faults.
+func (s *Shop) waitForLink(linkKind string, scheduler, target int, closed <-chan struct{}) error {
+	for delayed := false; ; {
 		s.mu.Lock()
-		begun, w := s.played > 0, faults.Way{}
-		if begun {
-			w = s.net.Script.Way(s.now()-s.played, ways, sched, target)
+		loadStarted, link := s.loadStart > 0, faults.Way{}
+		if loadStarted {
+			link = s.links.Script.Way(s.now()-s.loadStart, linkKind, scheduler, target)
 		}
 		s.mu.Unlock()
 		wait := 5 * time.Millisecond
 		switch {
-		case w.Broken:
-			return errBroken
-		case w.Cut:
-		case w.Delay > 0 && !late:
-			late, wait = true, time.Duration(w.Delay*1e6)
+		case link.Broken:
+			return errLinkBroken
+		case link.Cut:
+		case link.Delay > 0 && !delayed:
+			delayed, wait = true, time.Duration(link.Delay*1e6)
 		default:
 			return nil
 		}
--- a/internal/shopfront/worker.go
+++ b/internal/shopfront/worker.go
@@ -14,30 +14,30 @@
 	"cottonwell/internal/faults"
 )
 
-// become changes a worker's state in the list, which all are told of a while later.
-func (w *worker) become(state string) {
-	s := w.shop
+// announce changes a worker's state in the discovery list after the discovery delay, and notifies the watches.
+func (w *worker) announce(state string) {
+	s := w.site
 	s.mu.Lock()
 	delay := float64(s.spec.DiscoveryDelay) * (0.5 + s.rng.Float64())
 	s.mu.Unlock()
-	s.later(delay, func() {
+	s.afterMillis(delay, func() {
 		w.mu.Lock()
-		w.state, w.told = state, 0
-		clear(w.heard)
+		w.state, w.notReadySince = state, 0
+		clear(w.notifiedAt)
 		if state != "SERVING" {
-			w.told = s.now()
+			w.notReadySince = s.now()
 		}
 		w.mu.Unlock()
 		s.mu.Lock()
-		s.index++
-		close(s.changed)
-		s.changed = make(chan struct{})
+		s.listIndex++
+		close(s.listChanged)
+		s.listChanged = make(chan struct{})
 		s.mu.Unlock()
 	})
 }
 
-// later does something after so many ms, unless the shop is closed by then.
-func (s *Shop) later(ms float64, do func()) {
+// afterMillis calls do after ms milliseconds, unless the site is closed by then.
+func (s *Shop) afterMillis(ms float64, do func()) {
 	time.AfterFunc(time.Duration(ms*1e6), func() {
 		if s.ctx.Err() == nil {
 			do()
@@ -45,95 +45,95 @@
 	})
 }
 
-// handler is the worker's side of one scheduler's connections.
-func (w *worker) handler(sched int) http.Handler {
+// handler serves the requests of one scheduler to the worker.
+func (w *worker) handler(scheduler int) http.Handler {
 	return http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(io.LimitReader(r.Body, 1<<17))
 		if err != nil {
 			return
 		}
 		switch {
-		case r.Method == "DELETE": // whether it stops is up to the worker, and these do not
-			w.quit(strings.TrimPrefix(r.URL.Path, "/jobs/"))
+		case r.Method == "DELETE": // a worker may ignore a cancellation, and these workers run the job to its end
+			w.cancelJob(strings.TrimPrefix(r.URL.Path, "/jobs/"))
 			rw.WriteHeader(http.StatusOK)
 			return
 		case r.URL.Path == "/alive" || r.URL.Path == "/metrics/load":
 			w.mu.Lock()
 			up := w.Up && !w.Collapsed
-			rw.Header().Set("X-Pressure", w.report())
+			rw.Header().Set("X-Pressure", w.loadHeader())
 			w.mu.Unlock()
 			if !up {
-				w.reset(rw)
+				w.resetConnection(rw)
 			}
 			return
 		}
-		w.take(rw, r, sched, len(body))
+		w.acceptJob(rw, r, scheduler, len(body))
 	})
 }
 
-// quit notes that a scheduler gave an attempt up: a further one is no second copy.
-func (w *worker) quit(id string) {
+// cancelJob records that a scheduler cancelled an attempt. A further attempt then isn't a second open attempt.
+func (w *worker) cancelJob(id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, j := range w.jobs {
-		if j.id == id && !j.quit {
-			j.quit = true
-			w.shop.ended(id)
+		if j.requestID == id && !j.cancelled {
+			j.cancelled = true
+			w.site.recordEnd(id)
 		}
 	}
 }
 
-// reset ends a connection without a word.
-func (w *worker) reset(rw http.ResponseWriter) {
+// resetConnection closes the connection of a request with a TCP reset, as if the worker's process were down.
+func (w *worker) resetConnection(rw http.ResponseWriter) {
 	if c, _, err := http.NewResponseController(rw).Hijack(); err == nil {
-		reset(c) // a process that is not there
+		closeWithReset(c)
 	}
 }
 
-// take offers a job to the model.
-func (w *worker) take(rw http.ResponseWriter, r *http.Request, sched, size int) {
-	id, s := r.Header.Get("X-Txn"), w.shop
+// acceptJob offers a job to the emulated worker and sends its response.
+func (w *worker) acceptJob(rw http.ResponseWriter, r *http.Request, scheduler, bodySize int) {
+	id, s := r.Header.Get("X-Txn"), w.site
 	s.mu.Lock()
-	a := s.arrival(id)
+	arrival := s.arrival(id)
 	s.mu.Unlock()
-	if a == nil {
+	if arrival == nil {
 		http.Error(rw, "no client sent this id", http.StatusBadRequest)
 		return
 	}
 	w.mu.Lock()
 	now := s.now()
-	sentAt := now // a send counts from when it came, and not from when a bad way let it through
-	if c, ok := r.Context().Value(connKey{}).(*wayConn); ok {
-		sentAt = min(sentAt, math.Float64frombits(c.cameAt.Load()))
+	sentAt := now // the time of arrival, before any delay by a fault of the link
+	if c, ok := r.Context().Value(connKey{}).(*linkConn); ok {
+		sentAt = min(sentAt, math.Float64frombits(c.receivedAt.Load()))
 	}
-	if w.told > 0 && w.heard[sched] > 0 && sentAt > w.heard[sched]+250+50 {
-		s.breaks("send-to-draining")
+	if w.notReadySince > 0 && w.notifiedAt[scheduler] > 0 && sentAt > w.notifiedAt[scheduler]+250+50 {
+		s.recordViolation("send-to-draining")
 	}
 	if !w.Up || w.Collapsed {
 		w.mu.Unlock()
-		w.reset(rw)
+		w.resetConnection(rw)
 		return
 	}
 	w.advance(now)
-	fell := w.Collapsed
-	w.last++
-	ans := w.Offer(now, emulator.Job{Ref: w.last, Slots: a.Slots, Memory: a.Memory, Work: a.Work, Priority: s.spec.Classes[a.Class].Priority})
-	if w.Collapsed && !fell {
-		s.breaks("cold-pushed-over")
+	wasCollapsed := w.Collapsed
+	w.lastRef++
+	result := w.Offer(now, emulator.Job{Ref: w.lastRef, Slots: arrival.Slots, Memory: arrival.Memory, Work: arrival.Work, Priority: s.spec.Classes[arrival.Class].Priority})
+	if w.Collapsed && !wasCollapsed {
+		s.recordViolation("cold-pushed-over")
 	}
-	if ans == emulator.Accepted || ans == emulator.Failed {
-		s.began(id, w, a, now)
+	if result == emulator.Accepted || result == emulator.Failed {
+		s.recordAttempt(id, w, arrival, now)
 	}
-	load := w.report()
-	if ans == emulator.Accepted {
-		w.jobs[w.last] = &job{id: id, sched: sched, a: a}
+	load := w.loadHeader()
+	if result == emulator.Accepted {
+		w.jobs[w.lastRef] = &job{requestID: id, scheduler: scheduler, arrival: arrival}
 	}
 	w.mu.Unlock()
 	rw.Header().Set("X-Pressure", load)
-	switch ans {
+	switch result {
 	case emulator.Accepted:
 		rw.WriteHeader(http.StatusAccepted)
-		// Only now may it start: its call-backs come after the 202.
+		// The job may start only after the 202 is sent, so that its callbacks come later.
 		if err := http.NewResponseController(rw).Flush(); err != nil {
 			return
 		}
@@ -144,112 +144,115 @@
 		rw.Header().Set("X-Turned-Away", "1")
 		rw.WriteHeader(http.StatusServiceUnavailable)
 	case emulator.Failed:
-		s.ended(id)
+		s.recordEnd(id)
 		rw.WriteHeader(http.StatusInternalServerError)
 	case emulator.Unreachable:
-		w.reset(rw)
+		w.resetConnection(rw)
 	}
 }
 
-// began holds an attempt against the rules.
-func (s *Shop) began(id string, w *worker, a *emulator.Arrival, now float64) {
+// recordAttempt records an attempt and counts the rules that it violates.
+func (s *Shop) recordAttempt(id string, w *worker, arrival *emulator.Arrival, now float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t := s.attempts[id]
-	if t == nil {
-		t = &story{}
-		s.attempts[id] = t
+	record := s.requests[id]
+	if record == nil {
+		record = &requestRecord{}
+		s.requests[id] = record
 	}
-	if t.out > 0 {
-		s.broken["two-attempts-out"]++
+	if record.openAttempts > 0 {
+		s.violations["two-attempts-out"]++
 	}
-	if len(t.sends) >= 3 {
-		s.broken["fourth-attempt"]++
+	if len(record.sends) >= 3 {
+		s.violations["fourth-attempt"]++
 	}
-	if c := &s.spec.Classes[a.Class]; c.Keyed {
-		for _, x := range t.sends {
+	if c := &s.spec.Classes[arrival.Class]; c.Keyed {
+		for _, x := range record.sends {
 			if x.cell != w.spec.Cell || now-x.at > float64(c.KeyWindow)+50 {
-				s.broken["keyed-repeat-elsewhere"]++
+				s.violations["keyed-repeat-elsewhere"]++
 			}
 		}
 	}
-	t.out++
-	t.sends = append(t.sends, sendOf{cell: w.spec.Cell, at: now})
+	record.openAttempts++
+	record.sends = append(record.sends, sendRecord{cell: w.spec.Cell, at: now})
 }
 
-func (s *Shop) ended(id string) {
+// recordEnd records the end of an attempt.
+func (s *Shop) recordEnd(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if t := s.attempts[id]; t != nil && t.out > 0 {
-		t.out--
+	if record := s.requests[id]; record != nil && record.openAttempts > 0 {
+		record.openAttempts--
 	}
 }
 
-// advance plays the model to the present and sets the timer for what comes next. The
-// worker's lock is held.
+// advance simulates the worker up to the present and sets the timer for its next event. The caller must
+// hold the worker's lock.
 func (w *worker) advance(now float64) {
-	w.Advance(now, func(_ float64, n emulator.JobEvent) { w.note(n) })
+	w.Advance(now, func(_ float64, n emulator.JobEvent) { w.handleJobEvent(n) })
 	next := w.NextEvent(now)
 	if math.IsInf(next, 1) {
 		return
 	}
-	if w.due <= now || next < w.due {
-		w.due = next
+	if w.nextEventAt <= now || next < w.nextEventAt {
+		w.nextEventAt = next
 		if w.timer != nil {
 			w.timer.Stop()
 		}
 		w.timer = time.AfterFunc(time.Duration(max(0, next-now)*1e6), func() {
 			w.mu.Lock()
 			defer w.mu.Unlock()
-			w.due = math.Inf(1)
-			w.advance(w.shop.now())
+			w.nextEventAt = math.Inf(1)
+			w.advance(w.site.now())
 		})
 	}
 }
 
-// note tells a scheduler what became of a job. The worker's lock is held.
-func (w *worker) note(n emulator.JobEvent) {
-	j := w.jobs[n.Ref]
+// handleJobEvent reports a start or an end of a job to its scheduler by a callback. The caller must hold the
+// worker's lock.
+func (w *worker) handleJobEvent(event emulator.JobEvent) {
+	j := w.jobs[event.Ref]
 	if j == nil {
 		return
 	}
-	ev := map[string]any{"id": j.id, "from": w.spec.ID}
-	switch n.Kind {
+	callback := map[string]any{"id": j.requestID, "from": w.spec.ID}
+	switch event.Kind {
 	case emulator.Started:
-		ev["state"] = "started"
+		callback["state"] = "started"
 	case emulator.Done:
-		ev["state"], ev["result"], ev["load"] = "done", "done "+j.id, w.figures()
-		w.over(n.Ref, j)
+		callback["state"], callback["result"], callback["load"] = "done", "done "+j.requestID, w.loadFigures()
+		w.finishJob(event.Ref, j)
 	case emulator.Lost:
-		ev["state"] = "lost"
-		w.over(n.Ref, j)
+		callback["state"] = "lost"
+		w.finishJob(event.Ref, j)
 	}
-	data, err := json.Marshal(ev)
+	data, err := json.Marshal(callback)
 	if err != nil {
-		w.shop.log.Error("emulated shop: call-back", "cause", err)
+		w.site.log.Error("emulated site: encoding of a callback failed", "cause", err)
 		return
 	}
-	url := "http://" + w.shop.scheds[j.sched].Listen + "/v1/job-events"
-	w.shop.all.Go(func() {
-		if w.shop.pass(faults.Targets, j.sched, w.n, nil) == nil {
-			w.shop.callBack(url, data)
+	url := "http://" + w.site.schedulers[j.scheduler].Listen + "/v1/job-events"
+	w.site.goroutines.Go(func() {
+		if w.site.waitForLink(faults.Targets, j.scheduler, w.index, nil) == nil {
+			w.site.sendCallback(url, data)
 		}
 	})
 }
 
-func (w *worker) over(ref uint64, j *job) {
+// finishJob removes a job that has ended.
+func (w *worker) finishJob(ref uint64, j *job) {
 	delete(w.jobs, ref)
-	if !j.quit {
-		w.shop.ended(j.id)
+	if !j.cancelled {
+		w.site.recordEnd(j.requestID)
 	}
 }
 
-// callBack tries until it is answered, ten times at most.
-func (s *Shop) callBack(url string, data []byte) {
+// sendCallback sends a callback until it receives a response, with up to 10 tries.
+func (s *Shop) sendCallback(url string, data []byte) {
 	for range 10 {
-		resp, err := s.back.Post(url, "application/json", bytes.NewReader(data))
+		resp, err := s.callbackClient.Post(url, "application/json", bytes.NewReader(data))
 		if err == nil {
-			_, _ = io.Copy(io.Discard, resp.Body) // nothing of it is of use
+			_, _ = io.Copy(io.Discard, resp.Body) // the content is not used; reading it allows reuse of the connection
 			resp.Body.Close()
 			return
 		}
@@ -261,20 +264,20 @@
 	}
 }
 
-// figures are what the worker reports of itself: a while old, and noisy. Its lock is held.
-func (w *worker) figures() map[string]float64 {
-	s, now := w.shop, w.shop.now()
-	if now-w.loads > float64(s.spec.ReportInterval) {
-		w.loads = now
-		w.load = w.next
-		w.next = w.Load()
+// loadFigures returns the worker's load report, which is delayed and noisy. The caller must hold the worker's lock.
+func (w *worker) loadFigures() map[string]float64 {
+	s, now := w.site, w.site.now()
+	if now-w.sampledAt > float64(s.spec.ReportInterval) {
+		w.sampledAt = now
+		w.reportedLoad = w.sampledLoad
+		w.sampledLoad = w.Load()
 		if s.spec.ReportDelay <= 0 {
-			w.load = w.next
+			w.reportedLoad = w.sampledLoad
 		} else {
-			load := w.next
-			s.later(float64(s.spec.ReportDelay)+s.late(now), func() {
+			load := w.sampledLoad
+			s.afterMillis(float64(s.spec.ReportDelay)+s.extraReportDelay(now), func() {
 				w.mu.Lock()
-				w.load = load
+				w.reportedLoad = load
 				w.mu.Unlock()
 			})
 		}
@@ -284,29 +287,31 @@
 		defer s.mu.Unlock()
 		return math.Max(0, math.Round(100*x*(1+float64(s.spec.ReportNoise)*s.rng.NormFloat64()))/100)
 	}
-	f := map[string]float64{"inflight": noise(w.load.InFlight), "queue": noise(w.load.Queued), "x0": noise(w.load.FreeSlots)}
+	f := map[string]float64{"inflight": noise(w.reportedLoad.InFlight), "queue": noise(w.reportedLoad.Queued), "x0": noise(w.reportedLoad.FreeSlots)}
 	if w.spec.Memory > 0 {
-		f["x1"] = noise(w.load.FreeMemory)
+		f["x1"] = noise(w.reportedLoad.FreeMemory)
 	}
 	return f
 }
 
-func (s *Shop) late(now float64) (ms float64) {
+// extraReportDelay returns the delay in ms that late-reports faults add to load reports.
+func (s *Shop) extraReportDelay(now float64) (delay float64) {
 	for _, t := range s.spec.SiteFaults {
 		if t.Kind == "late-reports" && now >= float64(t.At) && now < float64(t.At+t.Duration) {
-			ms += float64(t.Delay)
+			delay += float64(t.Delay)
 		}
 	}
-	return ms
+	return delay
 }
 
-func (w *worker) report() string {
-	var parts []string
-	figures := w.figures()
+// loadHeader returns the load report as the value of a response header. The caller must hold the worker's lock.
+func (w *worker) loadHeader() string {
+	var pairs []string
+	figures := w.loadFigures()
 	for _, name := range []string{"inflight", "queue", "x0", "x1"} {
 		if x, ok := figures[name]; ok {
-			parts = append(parts, name+"="+strconv.FormatFloat(x, 'f', -1, 64))
+			pairs = append(pairs, name+"="+strconv.FormatFloat(x, 'f', -1, 64))
 		}
 	}
-	return strings.Join(parts, ",")
+	return strings.Join(pairs, ",")
 }
