--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -48,7 +48,7 @@
 type RoomCounts struct {
 	Held    int            `json:"held"`    // reservations made
 	Moved   int            `json:"moved"`   // of these, made because an earlier reservation of the flow failed
-	Gaps    int            `json:"gaps"`    // small jobs sent into a gap before a reservation
+	Gaps    int            `json:"gaps"`    // small jobs sent into a gap
 	Wrong   int            `json:"wrong"`   // of these, jobs that ended too late
 	LetGo   map[string]int `json:"let_go"`  // released reservations by reason
 	Scale   float64        `json:"scale"`   // the lowest governor scale of any planner at the end of the run
