--- a/internal/faults/faults.go
+++ b/internal/faults/faults.go
@@ -1,6 +1,13 @@
-// Package faults says what goes wrong among the schedulers of a fleet, and when: on the ways between
-// them, each way by itself, and with the processes. The same script is played in virtual time and
-// on processes with a relay between them, so that what is found in one can be looked at in the other.
+// Package faults defines schedules of faults for a fleet of schedulers: faults of datagrams between
+// schedulers, of connections to discovery and to targets, and of the scheduler processes. Each
+// direction of a link has its own faults.
+//
+// Draw and DrawConnectionFaults generate a Script from a seed. Net applies a script to datagrams and
+// returns when and with which bytes each arrives. Script.Way returns the state of a connection's
+// link. The package opens no sockets, reads no clock and controls no processes: the caller gives it
+// the time and carries out the process faults. The simulation in virtual time and the tests with
+// real processes, which pass their datagrams through a proxy, use the same scripts. A failure found
+// in one can therefore be examined in the other.
 package faults
 
 import (
@@ -11,100 +18,101 @@
 	"cottonwell/internal/units"
 )
 
-// Kind names a fault.
+// Kind is the type of a fault.
 type Kind string
 
-// The kinds. Those of ways hold while they last; those of processes begin at their time.
+// The kinds of faults. Link faults apply from At for Lasts. Process faults begin at At.
 const (
-	Loss      Kind = "loss"      // Share of the datagrams
-	Runs      Kind = "runs"      // lost in runs: Share of the time, each run some Size long
-	Delay     Kind = "delay"     // Size later
-	Jitter    Kind = "jitter"    // up to Size later, so that they overtake one another
-	Duplicate Kind = "duplicate" // Share comes twice, the second up to Size later
-	Corrupt   Kind = "corrupt"   // Share has a byte changed or is cut short
-	Cut       Kind = "cut"       // nothing passes from From to To; the other way is another fault
-	Split     Kind = "split"     // nothing passes between the Parts
-	Break     Kind = "break"     // of ways beside the schedulers: connections are reset, new ones too
+	Loss      Kind = "loss"      // drops Share of the datagrams
+	Runs      Kind = "runs"      // drops all datagrams in bursts that last Size on average and cover Share of the time
+	Delay     Kind = "delay"     // delays by Size
+	Jitter    Kind = "jitter"    // delays by a random time up to Size, which reorders datagrams
+	Duplicate Kind = "duplicate" // delivers Share of the datagrams twice, the second up to Size later
+	Corrupt   Kind = "corrupt"   // changes one byte of Share of the datagrams, or truncates them
+	Cut       Kind = "cut"       // drops everything from From to To; the opposite direction is a separate fault
+	Split     Kind = "split"     // drops everything between the Parts
+	Break     Kind = "break"     // resets existing and new connections to discovery or targets
 
-	Kill  Kind = "kill"  // the process ends at once, and starts anew after Lasts
-	Stall Kind = "stall" // it stands still for Lasts
-	Term  Kind = "term"  // it is asked to end, and starts anew after Lasts
-	Step  Kind = "step"  // its wall clock is set Size forward, or back
+	Kill  Kind = "kill"  // kills the process and restarts it after Lasts
+	Stall Kind = "stall" // suspends the process for Lasts
+	Term  Kind = "term"  // terminates the process gracefully and restarts it after Lasts
+	Step  Kind = "step"  // sets the wall clock of the process forward by Size, or backward if Back is set
 )
 
-// OfWay says whether a kind is of ways, and not of processes.
+// OfWay reports whether k is a link fault; otherwise k is a process fault.
 func (k Kind) OfWay() bool {
 	return slices.Contains([]Kind{Loss, Runs, Delay, Jitter, Duplicate, Corrupt, Cut, Split, Break}, k)
 }
 
-// The ways beside those among schedulers. Connections go there, not datagrams: what is cut stands still, both
-// ways, and goes on where it was once that is over.
+// Discovery and Targets are the values of Fault.Ways for links that carry connections, not datagrams.
+// Cut stalls such a connection in both directions; transfer resumes when the fault ends.
 const (
 	Discovery = "discovery"
 	Targets   = "targets"
 )
 
-// Fault is one thing that goes wrong.
+// Fault is one scheduled fault.
 type Fault struct {
 	Kind  Kind         `toml:"kind" json:"kind"`
 	At    units.Millis `toml:"at" json:"at_ms"`
 	Lasts units.Millis `toml:"lasts" json:"lasts_ms"`
-	From  []int        `toml:"from" json:"from,omitempty"` // senders; none: all. Of processes: which
-	To    []int        `toml:"to" json:"to,omitempty"`     // receivers; none: all
+	From  []int        `toml:"from" json:"from,omitempty"` // link faults: senders, all if empty; process faults: the affected schedulers
+	To    []int        `toml:"to" json:"to,omitempty"`     // receivers, all if empty; targets if Ways is Targets
 	Parts [][]int      `toml:"parts" json:"parts,omitempty"`
 	Share units.Share  `toml:"share" json:"share,omitempty"`
-	Back  bool         `toml:"back" json:"back,omitempty"` // step: backward
+	Back  bool         `toml:"back" json:"back,omitempty"` // step: set the clock backward
 	Size  units.Millis `toml:"size" json:"size_ms,omitempty"`
-	Ways  string       `toml:"ways" json:"ways,omitempty"` // of From to Discovery or, of these To, to Targets; none: among schedulers
-	Old   bool         `toml:"old" json:"old,omitempty"`   // kill, term: it starts anew with the list of its first start
+	Ways  string       `toml:"ways" json:"ways,omitempty"` // the affected links: Discovery, Targets, or empty for those between schedulers
+	Old   bool         `toml:"old" json:"old,omitempty"`   // kill, term: restart with the target list of the first start
 }
 
-// Script is what goes wrong in one run.
+// Script is the schedule of faults of one run.
 type Script []Fault
 
-// Check says which fault is impossible among n schedulers.
-func (s Script) Check(n int) error {
+// Check returns an error for the first fault that is invalid in a fleet of the given number of schedulers.
+func (s Script) Check(schedulers int) error {
 	for i, f := range s {
-		who := slices.Concat(f.From, f.To, slices.Concat(f.Parts...))
+		named := slices.Concat(f.From, f.To, slices.Concat(f.Parts...))
 		if f.Ways == Targets {
-			who = f.From
+			named = f.From
 		}
-		bad := slices.ContainsFunc(who, func(x int) bool { return x < 0 || x >= n })
+		outOfRange := slices.ContainsFunc(named, func(x int) bool { return x < 0 || x >= schedulers })
 		switch {
 		case !f.Kind.OfWay() && !slices.Contains([]Kind{Kill, Stall, Term, Step}, f.Kind):
-			return fmt.Errorf("fault %d: no kind is called %q", i+1, f.Kind)
+			return fmt.Errorf("fault %d: unknown kind %q", i+1, f.Kind)
 		case f.Ways != "" && f.Ways != Discovery && f.Ways != Targets:
-			return fmt.Errorf("fault %d (%s): ways of %q, and may be discovery or targets", i+1, f.Kind, f.Ways)
+			return fmt.Errorf("fault %d (%s): unknown ways %q: want discovery or targets", i+1, f.Kind, f.Ways)
 		case f.Ways == "" && f.Kind == Break || f.Ways != "" && !slices.Contains([]Kind{Break, Cut, Delay}, f.Kind):
-			return fmt.Errorf("fault %d (%s): on ways beside those among schedulers there are cut, delay and break, and break only there", i+1, f.Kind)
+			return fmt.Errorf("fault %d (%s): links to discovery and targets allow only cut, delay and break; break is allowed only there", i+1, f.Kind)
 		case f.Old && f.Kind != Kill && f.Kind != Term:
-			return fmt.Errorf("fault %d (%s): old is of kill and term", i+1, f.Kind)
-		case bad:
-			return fmt.Errorf("fault %d (%s): a scheduler that is not there; there are 0 to %d", i+1, f.Kind, n-1)
+			return fmt.Errorf("fault %d (%s): old applies only to kill and term", i+1, f.Kind)
+		case outOfRange:
+			return fmt.Errorf("fault %d (%s): unknown scheduler: indices are 0 to %d", i+1, f.Kind, schedulers-1)
 		case f.At < 0 || f.Lasts < 0:
 			return fmt.Errorf("fault %d (%s): at or lasts is negative", i+1, f.Kind)
 		case f.Share < 0 || f.Share > 1:
-			return fmt.Errorf("fault %d (%s): a share of %g%%", i+1, f.Kind, 100*float64(f.Share))
+			return fmt.Errorf("fault %d (%s): share %g%% is not between 0%% and 100%%", i+1, f.Kind, 100*float64(f.Share))
 		case !f.Kind.OfWay() && len(f.From) == 0:
 			return fmt.Errorf("fault %d (%s): from names no scheduler", i+1, f.Kind)
 		case f.Kind == Split && len(f.Parts) < 2:
-			return fmt.Errorf("fault %d (split): parts are fewer than two", i+1)
+			return fmt.Errorf("fault %d (split): fewer than two parts", i+1)
 		}
 	}
 	return nil
 }
 
-// on says whether a fault of ways bears on a datagram.
-func (f *Fault) on(now float64, from, to int) bool {
+// affectsDatagram reports whether f is a fault of links between schedulers that is active at now, in ms,
+// on the link from one scheduler to another.
+func (f *Fault) affectsDatagram(now float64, from, to int) bool {
 	return f.Kind.OfWay() && f.Ways == "" && now >= float64(f.At) && now < float64(f.At+f.Lasts) &&
 		(len(f.From) == 0 || slices.Contains(f.From, from)) && (len(f.To) == 0 || slices.Contains(f.To, to))
 }
 
-// Draw makes a script of so many faults from a seed, in the time from quiet to length less quiet,
-// so that a run begins and ends without.
-func Draw(seed uint64, n, faults int, length, quiet float64) (s Script) {
+// Draw generates a script with the given number of faults from a seed. All faults lie between quiet and
+// length-quiet, in ms, so that a run begins and ends without faults.
+func Draw(seed uint64, schedulers, faults int, length, quiet float64) (s Script) {
 	rng := rand.New(rand.NewPCG(seed, 0xfa17))
-	some := func(most int) []int { return rng.Perm(n)[:1+rng.IntN(max(1, min(most, n)))] }
+	subset := func(limit int) []int { return rng.Perm(schedulers)[:1+rng.IntN(max(1, min(limit, schedulers)))] }
 	for range faults {
 		f := Fault{At: units.Millis(quiet + rng.Float64()*(length-3*quiet)), Lasts: units.Millis((0.05 + 0.95*rng.Float64()) * quiet)}
 		switch rng.IntN(15) {
@@ -113,7 +121,7 @@
 		case 1:
 			f.Kind, f.Share, f.Size = Runs, units.Share(0.5*rng.Float64()), units.Millis(20+400*rng.Float64())
 		case 2:
-			f.Kind, f.Size, f.From = Delay, units.Millis(5000*rng.Float64()), some(3)
+			f.Kind, f.Size, f.From = Delay, units.Millis(5000*rng.Float64()), subset(3)
 		case 3:
 			f.Kind, f.Size = Jitter, units.Millis(500*rng.Float64())
 		case 4:
@@ -121,25 +129,25 @@
 		case 5:
 			f.Kind, f.Share = Corrupt, units.Share(0.5*rng.Float64())
 		case 6:
-			f.Kind, f.From = Cut, some(2)
+			f.Kind, f.From = Cut, subset(2)
 		case 7:
-			f.Kind, f.To = Cut, some(2)
+			f.Kind, f.To = Cut, subset(2)
 		case 8, 9:
 			parts := 2 + rng.IntN(2)
 			f.Kind, f.Parts = Split, make([][]int, parts)
-			for i, who := range rng.Perm(n) {
-				f.Parts[i%parts] = append(f.Parts[i%parts], who)
+			for i, scheduler := range rng.Perm(schedulers) {
+				f.Parts[i%parts] = append(f.Parts[i%parts], scheduler)
 			}
 		case 10:
-			f.Kind, f.From = Kill, some(max(1, n*7/10))
+			f.Kind, f.From = Kill, subset(max(1, schedulers*7/10))
 		case 11:
-			f.Kind, f.From = Kill, some(1)
+			f.Kind, f.From = Kill, subset(1)
 		case 12:
-			f.Kind, f.From = Stall, some(2)
+			f.Kind, f.From = Stall, subset(2)
 		case 13:
-			f.Kind, f.From = Term, some(1)
+			f.Kind, f.From = Term, subset(1)
 		case 14:
-			f.Kind, f.From, f.Size, f.Back = Step, some(2), units.Millis(2000*rng.Float64()), rng.IntN(2) == 0
+			f.Kind, f.From, f.Size, f.Back = Step, subset(2), units.Millis(2000*rng.Float64()), rng.IntN(2) == 0
 		}
 		s = append(s, f)
 	}
@@ -147,13 +155,13 @@
 	return s
 }
 
-// DrawBeside makes a script of so many faults on the ways to discovery and to targets, and of starts with old
-// lists, likewise.
-func DrawBeside(seed uint64, n, targets, faults int, length, quiet float64) (s Script) {
+// DrawConnectionFaults generates a script with the given number of faults from a seed, in the same period
+// as Draw. The faults are those of links to discovery and to targets, and restarts with an old target list.
+func DrawConnectionFaults(seed uint64, schedulers, targets, faults int, length, quiet float64) (s Script) {
 	rng := rand.New(rand.NewPCG(seed, 0xbe51de))
 	for range faults {
 		f := Fault{At: units.Millis(quiet + rng.Float64()*(length-3*quiet)), Lasts: units.Millis((0.05 + 0.95*rng.Float64()) * quiet)}
-		f.From = rng.Perm(n)[:1+rng.IntN(n)]
+		f.From = rng.Perm(schedulers)[:1+rng.IntN(schedulers)]
 		f.Kind, f.Ways = []Kind{Cut, Delay, Break}[rng.IntN(3)], Discovery
 		if f.Kind == Delay {
 			f.Size = units.Millis(200 * rng.Float64())
@@ -170,62 +178,63 @@
 	return s
 }
 
-// Way is what is wrong on the way of a connection.
+// Way is the fault state of a link that carries connections.
 type Way struct {
 	Cut, Broken bool
 	Delay       float64 // ms
 }
 
-// Way says what is wrong at a time on the way of a scheduler to discovery, or to one of the targets.
-func (s Script) Way(now float64, ways string, from, to int) (w Way) {
+// Way returns the fault state at now, in ms, of the link from scheduler from to a service, Discovery or
+// Targets. For Targets, to is the index of the target.
+func (s Script) Way(now float64, service string, from, to int) (state Way) {
 	for i := range s {
 		f := &s[i]
-		if f.Ways != ways || !f.Kind.OfWay() || now < float64(f.At) || now >= float64(f.At+f.Lasts) ||
-			len(f.From) > 0 && !slices.Contains(f.From, from) || ways == Targets && len(f.To) > 0 && !slices.Contains(f.To, to) {
+		if f.Ways != service || !f.Kind.OfWay() || now < float64(f.At) || now >= float64(f.At+f.Lasts) ||
+			len(f.From) > 0 && !slices.Contains(f.From, from) || service == Targets && len(f.To) > 0 && !slices.Contains(f.To, to) {
 			continue
 		}
 		switch f.Kind {
 		case Cut:
-			w.Cut = true
+			state.Cut = true
 		case Break:
-			w.Broken = true
+			state.Broken = true
 		case Delay:
-			w.Delay += float64(f.Size)
+			state.Delay += float64(f.Size)
 		}
 	}
-	return w
+	return state
 }
 
-// Delivery is a datagram that arrives, so many milliseconds after it was sent.
+// Delivery is a datagram that arrives.
 type Delivery struct {
-	After float64
+	After float64 // since it was sent, in ms
 	Raw   string
 }
 
-// Net plays the faults of ways.
+// Net applies the faults of links between schedulers to datagrams.
 type Net struct {
 	Script Script
-	Base   float64 // usual time on the way, in ms
+	Base   float64 // mean network delay without faults, in ms
 	Rng    *rand.Rand
 
-	runs map[[3]int]float64 // by fault and way: until when the present run of losses, or of none, lasts
-	lost map[[3]int]bool
+	phaseEnds map[[3]int]float64 // by fault, sender and receiver: end of the current phase of loss or of no loss, in ms
+	losing    map[[3]int]bool    // by the same key: whether the current phase loses datagrams
 }
 
-// Pass says what becomes of a datagram sent at a time from the script's beginning: it arrives not
-// at all, once, or twice.
-func (n *Net) Pass(now float64, from, to int, raw string) (out []Delivery) {
-	after, twice := n.Base*(0.5+n.Rng.Float64()), -1.0
+// Pass returns the deliveries of a datagram that is sent at now, in ms since the beginning of the script.
+// The datagram arrives not at all, once or twice.
+func (n *Net) Pass(now float64, from, to int, raw string) (deliveries []Delivery) {
+	delay, duplicateDelay := n.Base*(0.5+n.Rng.Float64()), -1.0
 	for i := range n.Script {
 		f := &n.Script[i]
-		if !f.on(now, from, to) {
+		if !f.affectsDatagram(now, from, to) {
 			continue
 		}
 		switch f.Kind {
 		case Cut:
 			return nil
 		case Split:
-			if part(f.Parts, from) != part(f.Parts, to) {
+			if partIndex(f.Parts, from) != partIndex(f.Parts, to) {
 				return nil
 			}
 		case Loss:
@@ -233,16 +242,16 @@
 				return nil
 			}
 		case Runs:
-			if n.run(i, f, now, from, to) {
+			if n.inLossRun(i, f, now, from, to) {
 				return nil
 			}
 		case Delay:
-			after += float64(f.Size)
+			delay += float64(f.Size)
 		case Jitter:
-			after += float64(f.Size) * n.Rng.Float64()
+			delay += float64(f.Size) * n.Rng.Float64()
 		case Duplicate:
 			if n.Rng.Float64() < float64(f.Share) {
-				twice = float64(f.Size) * n.Rng.Float64()
+				duplicateDelay = float64(f.Size) * n.Rng.Float64()
 			}
 		case Corrupt:
 			if n.Rng.Float64() < float64(f.Share) && len(raw) > 0 {
@@ -256,35 +265,37 @@
 			}
 		}
 	}
-	out = append(out, Delivery{after, raw})
-	if twice >= 0 {
-		out = append(out, Delivery{after + twice, raw})
+	deliveries = append(deliveries, Delivery{delay, raw})
+	if duplicateDelay >= 0 {
+		deliveries = append(deliveries, Delivery{delay + duplicateDelay, raw})
 	}
-	return out
+	return deliveries
 }
 
-// run says whether a way is in a run of losses. Runs last Size on average, and take Share of the time.
-func (n *Net) run(i int, f *Fault, now float64, from, to int) bool {
-	if n.runs == nil {
-		n.runs, n.lost = map[[3]int]float64{}, map[[3]int]bool{}
+// inLossRun reports whether a Runs fault drops the datagrams of a link at now. Runs of loss last Size on
+// average and cover Share of the time.
+func (n *Net) inLossRun(fault int, f *Fault, now float64, from, to int) bool {
+	if n.phaseEnds == nil {
+		n.phaseEnds, n.losing = map[[3]int]float64{}, map[[3]int]bool{}
 	}
-	way := [3]int{i, from, to}
-	at, begun := n.runs[way]
-	if !begun {
-		at, n.lost[way] = now, n.Rng.Float64() >= float64(f.Share) // the first turn is below
+	link := [3]int{fault, from, to}
+	phaseEnd, known := n.phaseEnds[link]
+	if !known {
+		phaseEnd, n.losing[link] = now, n.Rng.Float64() >= float64(f.Share) // the loop below inverts this once
 	}
-	for now >= at {
-		n.lost[way] = !n.lost[way]
+	for now >= phaseEnd {
+		n.losing[link] = !n.losing[link]
 		mean := float64(f.Size)
-		if !n.lost[way] {
+		if !n.losing[link] {
 			mean *= (1 - float64(f.Share)) / max(0.001, float64(f.Share))
 		}
-		at += max(1, mean) * n.Rng.ExpFloat64()
+		phaseEnd += max(1, mean) * n.Rng.ExpFloat64()
 	}
-	n.runs[way] = at
-	return n.lost[way]
+	n.phaseEnds[link] = phaseEnd
+	return n.losing[link]
 }
 
-func part(parts [][]int, who int) int {
-	return slices.IndexFunc(parts, func(p []int) bool { return slices.Contains(p, who) })
+// partIndex returns the index of the part that contains a scheduler, or -1 if none does.
+func partIndex(parts [][]int, scheduler int) int {
+	return slices.IndexFunc(parts, func(p []int) bool { return slices.Contains(p, scheduler) })
 }
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -41,7 +41,7 @@
 		s = append(s, faults.Draw(seed, spec.Schedulers, e.Drawn.Faults, float64(spec.Length), float64(e.Drawn.Quiet))...)
 	}
 	if e.Drawn.Beside > 0 {
-		s = append(s, faults.DrawBeside(seed, spec.Schedulers, len(spec.Workers()), e.Drawn.Beside, float64(spec.Length), float64(e.Drawn.Quiet))...)
+		s = append(s, faults.DrawConnectionFaults(seed, spec.Schedulers, len(spec.Workers()), e.Drawn.Beside, float64(spec.Length), float64(e.Drawn.Quiet))...)
 	}
 	return slices.DeleteFunc(s, func(f faults.Fault) bool { return f.Kind == faults.Step })
 }
@@ -92,7 +92,7 @@
 					}
 					_ = n.cmd.Process.Kill()
 					<-n.done
-					t.seen(rig.Event{At: now(), Who: i, Kind: rig.Ended})
+					t.seen(rig.Event{At: now(), Scheduler: i, Kind: rig.ProcessEnded})
 					if !sleep(ctx, lasts) {
 						return
 					}
@@ -225,14 +225,14 @@
 		}
 		f := &r.Fleet.Rules
 		fmt.Fprintf(b, "| %s | %d | %d | %d | %d | %d, %.0f, %.0f | %d | %d | %.1f | %d |\n", r.Variant, r.Cell.Schedulers, r.Seed, f.Documents, f.Changes,
-			len(f.Contradict), rig.Quantile(f.Contradict, 0.5), rig.Quantile(f.Contradict, 1), f.Falling, f.Twice, f.Strict/1000, f.Last)
+			len(f.Contradictions), rig.Quantile(f.Contradictions, 0.5), rig.Quantile(f.Contradictions, 1), f.Regressions, f.NumberConflicts, f.StrictTime/1000, f.FinalVersions)
 		k := slices.Index(names, r.Variant)
 		if k < 0 {
 			k = len(names)
 			names, boxes = append(names, r.Variant), append(boxes, nil)
 		}
 		sum := 0.0
-		for _, x := range f.Contradict {
+		for _, x := range f.Contradictions {
 			sum += x / 1000
 		}
 		boxes[k] = append(boxes[k], sum)
@@ -273,8 +273,8 @@
 			head = true
 		}
 		f := r.Fleet
-		fmt.Fprintf(b, "| %s | %d | %d | %d | %d | %d | %d, %d, %d | %d | %d | %d, %.0f, %.0f | %d, %.0f, %.0f |\n", r.Variant, r.Cell.Schedulers, r.Seed, len(f.Holdings), f.Double, f.Falling, f.Acts, f.Barred, f.Old, f.Judged, f.Unheld,
-			len(f.Gaps), rig.Quantile(f.Gaps, 0.5), rig.Quantile(f.Gaps, 0.99), len(f.Handed), rig.Quantile(f.Handed, 0.5), rig.Quantile(f.Handed, 0.99))
+		fmt.Fprintf(b, "| %s | %d | %d | %d | %d | %d | %d, %d, %d | %d | %d | %d, %.0f, %.0f | %d, %.0f, %.0f |\n", r.Variant, r.Cell.Schedulers, r.Seed, len(f.Holdings), f.DoubleHolders, f.NonIncreasing, f.ActsTaken, f.ActsRefused, f.StaleActs, f.Verdicts, f.Unheld,
+			len(f.Gaps), rig.Quantile(f.Gaps, 0.5), rig.Quantile(f.Gaps, 0.99), len(f.HandoverGaps), rig.Quantile(f.HandoverGaps, 0.5), rig.Quantile(f.HandoverGaps, 0.99))
 	}
 	for i := range s.Runs {
 		r := &s.Runs[i]
@@ -330,7 +330,7 @@
 			d = len(duties)
 			duties = append(duties, h.Duty)
 		}
-		if err := line(h.Who, h.From, h.To, 0.12*float64(d%len(colours))-0.18, 2.5, colours[d%len(colours)]); err != nil {
+		if err := line(h.Scheduler, h.From, h.To, 0.12*float64(d%len(colours))-0.18, 2.5, colours[d%len(colours)]); err != nil {
 			return err
 		}
 	}
--- a/internal/lab/fleet_test.go
+++ b/internal/lab/fleet_test.go
@@ -123,12 +123,12 @@
 func TestDutiesOnProcesses(t *testing.T) {
 	s := threeProcesses(t, "")
 	f := s.Runs[0].Fleet
-	t.Logf("%d holdings, without a holder %.0f ms, handed on %.0f ms, served %.2f", len(f.Holdings), f.Gaps, f.Handed, s.Runs[0].Small.Share())
-	require.Zero(t, f.Double, "two holders")
-	require.Zero(t, f.Falling, "falling numbers")
-	require.Zero(t, f.Old, "acts taken under old numbers")
-	require.Greater(t, f.Acts, 20)
-	require.Positive(t, f.Judged, "a target fails, and nobody judges it for all")
+	t.Logf("%d holdings, without a holder %.0f ms, handed on %.0f ms, served %.2f", len(f.Holdings), f.Gaps, f.HandoverGaps, s.Runs[0].Small.Share())
+	require.Zero(t, f.DoubleHolders, "two holders")
+	require.Zero(t, f.NonIncreasing, "falling numbers")
+	require.Zero(t, f.StaleActs, "acts taken under old numbers")
+	require.Greater(t, f.ActsTaken, 20)
+	require.Positive(t, f.Verdicts, "a target fails, and nobody judges it for all")
 	require.Zero(t, f.Unheld, "held by nobody at the end")
 	require.Greater(t, len(f.Holdings), 5)
 	dir := t.TempDir()
@@ -143,12 +143,12 @@
 // The same script with a program made wrong on purpose, whose holders believe on while they stand still: the
 // checker finds two holders.
 func TestTheRigFindsTwoHolders(t *testing.T) {
-	require.Positive(t, threeProcesses(t, "wrong_trust").Runs[0].Fleet.Double)
+	require.Positive(t, threeProcesses(t, "wrong_trust").Runs[0].Fleet.DoubleHolders)
 }
 
 // And with one that takes acts under any number, acts that come late are found.
 func TestTheRigFindsOldActs(t *testing.T) {
-	require.Positive(t, threeProcesses(t, "wrong_fence").Runs[0].Fleet.Old)
+	require.Positive(t, threeProcesses(t, "wrong_fence").Runs[0].Fleet.StaleActs)
 }
 
 func TestScriptsOfADay(t *testing.T) {
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -89,7 +89,7 @@
 func (r *Run) Rules() int {
 	n := r.Result.Rules()
 	if r.Fleet != nil {
-		n += r.Fleet.Breaks()
+		n += r.Fleet.Violations()
 	}
 	return n
 }
@@ -252,25 +252,25 @@
 		if r.Fleet == nil {
 			return 0
 		}
-		return float64(len(r.Fleet.Rules.Contradict))
+		return float64(len(r.Fleet.Rules.Contradictions))
 	},
 	"last_versions": func(r *Run) float64 {
 		if r.Fleet == nil {
 			return 0
 		}
-		return float64(r.Fleet.Rules.Last)
+		return float64(r.Fleet.Rules.FinalVersions)
 	},
 	"two_holders": func(r *Run) float64 {
 		if r.Fleet == nil {
 			return 0
 		}
-		return float64(r.Fleet.Double)
+		return float64(r.Fleet.DoubleHolders)
 	},
 	"old_acts": func(r *Run) float64 {
 		if r.Fleet == nil {
 			return 0
 		}
-		return float64(r.Fleet.Old)
+		return float64(r.Fleet.StaleActs)
 	},
 	"unheld": func(r *Run) float64 {
 		if r.Fleet == nil {
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -286,7 +286,7 @@
 		return err
 	}
 	n.down.Store(false)
-	t.seen(rig.Event{At: now(), Who: i, Kind: rig.Began})
+	t.seen(rig.Event{At: now(), Scheduler: i, Kind: rig.ProcessStarted})
 	return nil
 }
 
