--- a/cmd/cottonlab/main.go
+++ b/cmd/cottonlab/main.go
@@ -1,4 +1,6 @@
-// Command cottonlab emulates a shop and runs experiments on schedulers before it.
+// Command cottonlab runs experiments on schedulers in front of an emulated site. It also starts such a site
+// with schedulers for manual requests, and reports and compares the results of experiments. It reads TOML files,
+// and writes a summary, reports and charts to folders.
 package main
 
 import (
@@ -18,22 +20,22 @@
 	"cottonwell/internal/lab"
 )
 
-const usage = `cottonlab, an emulated shop and experiments on schedulers
+const usage = `cottonlab, an emulated site and experiments on schedulers
 
 usage: cottonlab COMMAND [flags] [arguments]
 
-  up [FILE]             start a shop and schedulers on loopback, play a mild load and show it
+  up [FILE]             start a site and schedulers on loopback, generate a mild load and print counters
   run FILE --out DIR    run an experiment; exit 1 if one of its checks fails
-  report DIR            write tables and charts of what a run left in DIR
-  diff DIR1 DIR2        say what changed beyond the noise
-  check FILE            say what is wrong with an experiment or a shop
+  report DIR            write tables and charts of the results in DIR
+  diff DIR1 DIR2        print the changes between two results beyond the noise
+  check FILE            validate the file of an experiment or a site
 
 'cottonlab COMMAND --help' lists the flags of a command.
 `
 
 var (
-	errUsage = errors.New("bad use")
-	errCheck = errors.New("a check fails")
+	errUsage = errors.New("usage error")
+	errCheck = errors.New("a check failed")
 )
 
 func main() {
@@ -42,8 +44,8 @@
 	os.Exit(run(ctx, os.Args[1:], os.Stdout, os.Stderr))
 }
 
-// run does what the arguments say and returns the exit code: 0, 1 if a check or something
-// else fails, 2 for bad use.
+// run executes the command in args and returns the exit code: 0 for success, 1 if a check or anything else fails,
+// 2 for a usage error.
 func run(ctx context.Context, args []string, stdout, stderr io.Writer) int {
 	err := command(ctx, args, stdout, stderr)
 	if err == nil || errors.Is(err, pflag.ErrHelp) {
@@ -56,8 +58,10 @@
 	return 1
 }
 
-func bad(err error) error { return fmt.Errorf("%w: %w", errUsage, err) }
+// usageError marks err as a usage error.
+func usageError(err error) error { return fmt.Errorf("%w: %w", errUsage, err) }
 
+// command parses the flags of a command and executes it.
 func command(ctx context.Context, args []string, stdout, stderr io.Writer) error {
 	if len(args) == 0 {
 		return fmt.Errorf("%w: no command; 'cottonlab help' lists them", errUsage)
@@ -66,51 +70,51 @@
 	flags := pflag.NewFlagSet("cottonlab "+name, pflag.ContinueOnError)
 	flags.SetOutput(stdout)
 	flags.Usage = func() { fmt.Fprintf(stdout, "usage: cottonlab %s [flags]\n%s", name, flags.FlagUsages()) }
-	var o lab.Options
-	want := map[string]int{"run": 1, "report": 1, "diff": 2, "check": 1, "help": 0}
+	var options lab.Options
+	argumentCounts := map[string]int{"run": 1, "report": 1, "diff": 2, "check": 1, "help": 0}
 	switch name {
 	case "run":
-		flags.StringVar(&o.Out, "out", "", "the folder for the results")
-		flags.BoolVar(&o.Quick, "quick", false, "the quick form")
-		flags.Uint64Var(&o.Seed, "seed", 1, "of the first day")
+		flags.StringVar(&options.Out, "out", "", "folder for the results")
+		flags.BoolVar(&options.Quick, "quick", false, "run the quick form of the experiment")
+		flags.Uint64Var(&options.Seed, "seed", 1, "seed of the first run")
 	case "up":
-		flags.Uint64Var(&o.Seed, "seed", 1, "of the load")
-		flags.StringVar(&o.Out, "logs", "", "a folder for the schedulers' logs")
+		flags.Uint64Var(&options.Seed, "seed", 1, "seed of the load")
+		flags.StringVar(&options.Out, "logs", "", "folder for the schedulers' logs")
 	case "--help", "-h":
 		name = "help"
 	}
 	if name == "run" || name == "up" {
-		flags.StringVar(&o.Scheduler, "scheduler", beside("cottonwell"), "the scheduler's program")
+		flags.StringVar(&options.Scheduler, "scheduler", siblingProgram("cottonwell"), "path of the scheduler program")
 	}
 	if err := flags.Parse(args); err != nil {
 		if errors.Is(err, pflag.ErrHelp) {
 			return err
 		}
-		return bad(err)
+		return usageError(err)
 	}
-	if n, ok := want[name]; ok && flags.NArg() != n {
-		return fmt.Errorf("%w: %s takes %d arguments, and %d are given", errUsage, name, n, flags.NArg())
+	if n, ok := argumentCounts[name]; ok && flags.NArg() != n {
+		return fmt.Errorf("%w: %s takes %d arguments, got %d", errUsage, name, n, flags.NArg())
 	}
-	o.Log = slog.New(slog.NewTextHandler(stderr, nil))
+	options.Log = slog.New(slog.NewTextHandler(stderr, nil))
 	switch name {
 	case "help":
 		fmt.Fprint(stdout, usage)
 		return nil
 	case "run":
-		return experiment(ctx, flags.Arg(0), o, stdout, stderr)
+		return runExperiment(ctx, flags.Arg(0), options, stdout, stderr)
 	case "up":
-		return up(ctx, flags.Args(), o, stdout)
+		return up(ctx, flags.Args(), options, stdout)
 	case "check":
 		e, err := lab.Load(flags.Arg(0))
 		if err != nil {
-			return bad(err)
+			return usageError(err)
 		}
-		fmt.Fprintf(stdout, "%s is good: %d variants, %d checks\n", flags.Arg(0), len(e.Variants), len(e.Checks))
+		fmt.Fprintf(stdout, "%s is valid: %d variants, %d checks\n", flags.Arg(0), len(e.Variants), len(e.Checks))
 		return nil
 	case "report":
 		s, err := lab.Read(flags.Arg(0))
 		if err != nil {
-			return bad(err)
+			return usageError(err)
 		}
 		path, err := s.Report(flags.Arg(0))
 		if err != nil {
@@ -121,11 +125,11 @@
 	case "diff":
 		a, err := lab.Read(flags.Arg(0))
 		if err != nil {
-			return bad(err)
+			return usageError(err)
 		}
 		b, err := lab.Read(flags.Arg(1))
 		if err != nil {
-			return bad(err)
+			return usageError(err)
 		}
 		fmt.Fprint(stdout, lab.Diff(a, b))
 		return nil
@@ -133,8 +137,8 @@
 	return fmt.Errorf("%w: unknown command %q; 'cottonlab help' lists them", errUsage, name)
 }
 
-// beside is a program in the folder of this one.
-func beside(name string) string {
+// siblingProgram returns the path of a program in the folder of this one, or the name alone if that folder is unknown.
+func siblingProgram(name string) string {
 	self, err := os.Executable()
 	if err != nil {
 		return name
@@ -142,32 +146,34 @@
 	return filepath.Join(filepath.Dir(self), name)
 }
 
-func experiment(ctx context.Context, file string, o lab.Options, stdout, stderr io.Writer) error {
-	if o.Out == "" {
+// runExperiment runs the experiment in file, writes the summary to options.Out and prints the checks. It returns
+// errCheck if one fails.
+func runExperiment(ctx context.Context, file string, options lab.Options, stdout, stderr io.Writer) error {
+	if options.Out == "" {
 		return fmt.Errorf("%w: run needs --out, a folder for the results", errUsage)
 	}
 	e, err := lab.Load(file)
 	if err != nil {
-		return bad(err)
+		return usageError(err)
 	}
-	if err := os.MkdirAll(o.Out, 0o755); err != nil {
-		return bad(err)
+	if err := os.MkdirAll(options.Out, 0o755); err != nil {
+		return usageError(err)
 	}
-	if f, ok := stderr.(*os.File); ok && terminal(f) {
+	if f, ok := stderr.(*os.File); ok && isTerminal(f) {
 		var bar *progressbar.ProgressBar
-		o.Step = func(done, all int) {
+		options.Progress = func(done, all int) {
 			if bar == nil {
 				bar = progressbar.NewOptions(all, progressbar.OptionSetWriter(stderr), progressbar.OptionShowCount(),
-					progressbar.OptionSetDescription("days played"), progressbar.OptionClearOnFinish())
+					progressbar.OptionSetDescription("runs completed"), progressbar.OptionClearOnFinish())
 			}
-			_ = bar.Set(done) // a line that cannot be drawn is no loss
+			_ = bar.Set(done) // a failure to draw the progress bar is harmless
 		}
 	}
-	s, err := e.Do(ctx, o)
+	s, err := e.Run(ctx, options)
 	if err != nil {
 		return err
 	}
-	if err := s.Write(o.Out); err != nil {
+	if err := s.Write(options.Out); err != nil {
 		return err
 	}
 	for _, c := range s.Checks {
@@ -183,7 +189,8 @@
 	return nil
 }
 
-func terminal(f *os.File) bool {
+// isTerminal reports whether f is a terminal or another character device.
+func isTerminal(f *os.File) bool {
 	info, err := f.Stat()
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
 }
--- a/cmd/cottonlab/main_test.go
+++ b/cmd/cottonlab/main_test.go
@@ -17,7 +17,7 @@
 	for _, c := range []struct {
 		args []string
 		code int
-		says string
+		want string
 	}{
 		{nil, 2, "no command"},
 		{[]string{"help"}, 0, "usage: cottonlab"},
@@ -36,6 +36,6 @@
 	} {
 		var out, errs bytes.Buffer
 		require.Equal(t, c.code, run(context.Background(), c.args, &out, &errs), "%v: %s", c.args, errs.String())
-		require.Contains(t, out.String()+errs.String(), c.says)
+		require.Contains(t, out.String()+errs.String(), c.want)
 	}
 }
--- a/cmd/cottonlab/up.go
+++ b/cmd/cottonlab/up.go
@@ -14,47 +14,47 @@
 	"cottonwell/internal/tomlfile"
 )
 
-// sample is the shop that up starts if none is named.
-const sample = "deploy/local/shop.toml"
+// defaultFile is the site that up starts if its command line names none.
+const defaultFile = "deploy/local/shop.toml"
 
-// local is a shop to be looked at.
-type local struct {
+// localSite is the file of a site for manual tests.
+type localSite struct {
 	Shop emulator.Spec `toml:"shop"`
 	Room *config.Room  `toml:"room"`
 }
 
-// up starts a shop and its schedulers and plays the load over and over until ctx ends.
-func up(ctx context.Context, args []string, o lab.Options, stdout io.Writer) error {
-	file := sample
+// up starts a site and its schedulers, repeats the site's load and prints counters every second until ctx ends.
+func up(ctx context.Context, args []string, options lab.Options, stdout io.Writer) error {
+	file := defaultFile
 	if len(args) > 1 {
-		return fmt.Errorf("%w: up takes one file at most", errUsage)
+		return fmt.Errorf("%w: up takes at most one file", errUsage)
 	}
 	if len(args) == 1 {
 		file = args[0]
 	}
-	var l local
-	if err := tomlfile.Load(file, &l); err != nil {
-		return bad(err)
+	var site localSite
+	if err := tomlfile.Load(file, &site); err != nil {
+		return usageError(err)
 	}
-	if err := l.Shop.Check(); err != nil {
-		return bad(fmt.Errorf("%s: shop: %w", file, err))
+	if err := site.Shop.Check(); err != nil {
+		return usageError(fmt.Errorf("%s: shop: %w", file, err))
 	}
-	if o.Out != "" {
-		if err := os.MkdirAll(o.Out, 0o755); err != nil {
-			return bad(err)
+	if options.Out != "" {
+		if err := os.MkdirAll(options.Out, 0o755); err != nil {
+			return usageError(err)
 		}
 	}
-	t, err := lab.StartReady(ctx, &l.Shop, o.Seed, &lab.Variant{Name: "local", Room: l.Room}, o)
+	testbed, err := lab.StartReady(ctx, &site.Shop, options.Seed, &lab.Variant{Name: "local", Room: site.Room}, options)
 	if err != nil {
 		return err
 	}
-	defer t.Stop()
-	fmt.Fprintf(stdout, "%d workers and %d schedulers are up. A request by hand, from the same load (Ctrl-C ends all):\n\n", len(l.Shop.Workers()), l.Shop.Schedulers)
-	c := l.Shop.Classes[0]
-	fmt.Fprintf(stdout, "  curl -i -X POST -H 'X-Txn: 00000000-9' -H 'X-Org: %s' -d '{}' http://%s/%s\n\n", l.Shop.Tenants[0].Name, t.Shop.Nodes()[0].Listen, c.Name)
+	defer testbed.Stop()
+	fmt.Fprintf(stdout, "%d workers and %d schedulers are running. Send a request of the same load with the command below; Ctrl-C stops all:\n\n", len(site.Shop.Workers()), site.Shop.Schedulers)
+	class := site.Shop.Classes[0]
+	fmt.Fprintf(stdout, "  curl -i -X POST -H 'X-Txn: 00000000-9' -H 'X-Org: %s' -d '{}' http://%s/%s\n\n", site.Shop.Tenants[0].Name, testbed.Shop.Nodes()[0].Listen, class.Name)
 	var mu sync.Mutex
 	counts := map[string]int{}
-	seen := func(status int) {
+	countStatus := func(status int) {
 		mu.Lock()
 		defer mu.Unlock()
 		switch status {
@@ -68,29 +68,29 @@
 			counts["failed"]++
 		}
 	}
-	played := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
-		defer close(played)
-		for seed := o.Seed; ctx.Err() == nil; seed++ {
-			t.Shop.Play(ctx, seed, seen)
+		defer close(done)
+		for seed := options.Seed; ctx.Err() == nil; seed++ {
+			testbed.Shop.Play(ctx, seed, countStatus)
 		}
 	}()
-	every := time.NewTicker(time.Second)
-	defer every.Stop()
+	ticker := time.NewTicker(time.Second)
+	defer ticker.Stop()
 	for n := 1; ; n++ {
 		select {
 		case <-ctx.Done():
-			<-played
-			fmt.Fprintln(stdout, "ending: the schedulers wind down")
+			<-done
+			fmt.Fprintln(stdout, "stopping: graceful shutdown of the schedulers")
 			return nil
-		case <-every.C:
+		case <-ticker.C:
 		}
-		if err := t.Dead(); err != nil {
+		if err := testbed.UnexpectedExit(); err != nil {
 			return err
 		}
-		slots, holds := t.Shop.Held()
+		slots, reservations := testbed.Shop.Held()
 		mu.Lock()
-		line := fmt.Sprintf("%4d s  served %d  refused %d  failed %d  left %d  room held %d times, %.0f slots now  rules broken %v", n, counts["served"], counts["refused"], counts["failed"], counts["left"], holds, slots, t.Shop.Broken())
+		line := fmt.Sprintf("%4d s  served %d  refused %d  failed %d  left %d  reservations %d, %.0f slots now  rules broken %v", n, counts["served"], counts["refused"], counts["failed"], counts["left"], reservations, slots, testbed.Shop.Broken())
 		mu.Unlock()
 		fmt.Fprintln(stdout, line)
 	}
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -24,34 +24,38 @@
 	"cottonwell/internal/units"
 )
 
-// Drawn has faults drawn from each day's seed, beside those that the shop names.
-type Drawn struct {
-	Faults int `toml:"faults"`
-	Beside int `toml:"beside"` // and so many on the ways to discovery and to targets, and starts with old lists
-	// Documents are so many files of rules, one after the other, that contradict one another, for variants in
-	// which schedulers agree on them. Reloaded: all schedulers are told of each, not one of them.
+// RandomFaults configures faults that are generated from the seed of each run, in addition to those that the
+// site lists.
+type RandomFaults struct {
+	Faults           int `toml:"faults"`
+	ConnectionFaults int `toml:"beside"` // faults of links to discovery and to targets, and restarts with an old target list
+	// Documents is the number of rules files that are published one after the other in variants with agreed
+	// rules. The files contradict each other. If Variant.Reloaded is set, all schedulers are notified of each
+	// file, otherwise one scheduler.
 	Documents int          `toml:"documents"`
-	Quiet     units.Millis `toml:"quiet"` // without faults at the beginning and the end; none lasts longer
+	Quiet     units.Millis `toml:"quiet"` // length of the fault-free periods at the beginning and the end; also the longest fault
 }
 
-// script is what goes wrong on a day: clocks of real processes are not set.
+// script returns the faults of one run. It leaves out clock steps, because the clocks of real processes are not
+// changed.
 func (e *Experiment) script(spec *emulator.Spec, seed uint64) faults.Script {
 	s := slices.Clone(spec.Faults)
-	if e.Drawn.Faults > 0 {
-		s = append(s, faults.Draw(seed, spec.Schedulers, e.Drawn.Faults, float64(spec.Length), float64(e.Drawn.Quiet))...)
+	if e.RandomFaults.Faults > 0 {
+		s = append(s, faults.Draw(seed, spec.Schedulers, e.RandomFaults.Faults, float64(spec.Length), float64(e.RandomFaults.Quiet))...)
 	}
-	if e.Drawn.Beside > 0 {
-		s = append(s, faults.DrawConnectionFaults(seed, spec.Schedulers, len(spec.Workers()), e.Drawn.Beside, float64(spec.Length), float64(e.Drawn.Quiet))...)
+	if e.RandomFaults.ConnectionFaults > 0 {
+		s = append(s, faults.DrawConnectionFaults(seed, spec.Schedulers, len(spec.Workers()), e.RandomFaults.ConnectionFaults, float64(spec.Length), float64(e.RandomFaults.Quiet))...)
 	}
 	return slices.DeleteFunc(s, func(f faults.Fault) bool { return f.Kind == faults.Step })
 }
 
-// now is the machine's clock, which the processes' logs go by.
-func now() float64 { return float64(time.Now().UnixNano()) / 1e6 }
+// nowMS returns the time of the machine's clock in ms, the time base of the processes' logs.
+func nowMS() float64 { return float64(time.Now().UnixNano()) / 1e6 }
 
-// disturb plays the faults of processes from now on, and returns once all are over.
-func (t *Tier) disturb(ctx context.Context, script faults.Script) error {
-	var all sync.WaitGroup
+// injectProcessFaults carries out the process faults of a script, which begins now, and returns when all have
+// ended.
+func (t *Testbed) injectProcessFaults(ctx context.Context, script faults.Script) error {
+	var running sync.WaitGroup
 	errs := make(chan error, 1)
 	fail := func(err error) {
 		select {
@@ -60,50 +64,50 @@
 		}
 	}
 	begin := time.Now()
-	for _, f := range script {
-		if f.Kind.OfWay() {
+	for _, fault := range script {
+		if fault.Kind.OfWay() {
 			continue
 		}
-		for _, i := range f.From {
-			n := t.nodes[i]
-			all.Go(func() {
-				if !sleep(ctx, time.Until(begin.Add(time.Duration(f.At)*time.Millisecond))) {
+		for _, i := range fault.From {
+			proc := t.processes[i]
+			running.Go(func() {
+				if !sleep(ctx, time.Until(begin.Add(time.Duration(fault.At)*time.Millisecond))) {
 					return
 				}
-				// One fault at a time for a process: a second one waits for the first.
-				n.busy.Lock()
-				defer n.busy.Unlock()
-				lasts := time.Duration(f.Lasts) * time.Millisecond
-				switch f.Kind {
+				// A process has one fault at a time: a second one waits for the first to end.
+				proc.faultMu.Lock()
+				defer proc.faultMu.Unlock()
+				lasts := time.Duration(fault.Lasts) * time.Millisecond
+				switch fault.Kind {
 				case faults.Stall:
-					// A process that ended by itself is found by Dead.
-					_ = n.cmd.Process.Signal(syscall.SIGSTOP)
+					// UnexpectedExit reports a process that exited by itself.
+					_ = proc.cmd.Process.Signal(syscall.SIGSTOP)
 					sleep(ctx, lasts)
 					t.Shop.Woke(i)
-					_ = n.cmd.Process.Signal(syscall.SIGCONT)
+					_ = proc.cmd.Process.Signal(syscall.SIGCONT)
 				case faults.Kill, faults.Term:
-					n.down.Store(true)
-					if f.Kind == faults.Term {
-						_ = n.cmd.Process.Signal(syscall.SIGTERM)
+					proc.stopped.Store(true)
+					if fault.Kind == faults.Term {
+						_ = proc.cmd.Process.Signal(syscall.SIGTERM)
 						select {
-						case <-n.done:
+						case <-proc.done:
 						case <-time.After(8 * time.Second):
 						}
 					}
-					_ = n.cmd.Process.Kill()
-					<-n.done
-					t.seen(rig.Event{At: now(), Scheduler: i, Kind: rig.ProcessEnded})
+					_ = proc.cmd.Process.Kill()
+					<-proc.done
+					t.recordEvent(rig.Event{At: nowMS(), Scheduler: i, Kind: rig.ProcessEnded})
 					if !sleep(ctx, lasts) {
 						return
 					}
-					if err := t.again(i, f.Old); err != nil {
+					if err := t.restart(i, fault.Old); err != nil {
 						fail(err)
 					}
 				}
 			})
 		}
 	}
-	all.Wait()
+	running.Wait()
 	select {
 	case err := <-errs:
 		return err
@@ -112,6 +116,7 @@
 	}
 }
 
+// sleep waits for d and reports whether ctx is still active.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -121,38 +126,39 @@
 	}
 }
 
-func (t *Tier) seen(e rig.Event) {
+func (t *Testbed) recordEvent(e rig.Event) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.events = append(t.events, e)
 }
 
-// fleetDay plays a day under faults and reads off the logs what the schedulers believed.
-func (t *Tier) fleetDay(ctx context.Context, script faults.Script, seed uint64, duties []string, e *Experiment, v *Variant) (*emulator.Result, *rig.Result, error) {
-	begin := now()
-	disturbed := make(chan error, 1)
+// runUnderFaults plays the load of one run under faults. It then reads the logs of the schedulers and checks
+// which duties each believed that it held.
+func (t *Testbed) runUnderFaults(ctx context.Context, script faults.Script, seed uint64, duties []string, e *Experiment, v *Variant) (*emulator.Result, *rig.Result, error) {
+	begin := nowMS()
+	injected := make(chan error, 1)
 	go func() {
-		var all sync.WaitGroup
+		var publishing sync.WaitGroup
 		var err error
 		if v.Fleet != nil && v.Fleet.Rules != nil {
-			all.Go(func() { err = t.publish(ctx, e, v, seed) })
+			publishing.Go(func() { err = t.publishRules(ctx, e, v, seed) })
 		}
-		disturbed <- errors.Join(t.disturb(ctx, script), func() error { all.Wait(); return err }())
+		injected <- errors.Join(t.injectProcessFaults(ctx, script), func() error { publishing.Wait(); return err }())
 	}()
 	res := t.Shop.Play(ctx, seed, nil)
-	if err := <-disturbed; err != nil {
+	if err := <-injected; err != nil {
 		return nil, nil, err
 	}
-	if err := t.Dead(); err != nil {
+	if err := t.UnexpectedExit(); err != nil {
 		return nil, nil, err
 	}
-	end := now()
+	end := nowMS()
 	events := t.events
-	for i, n := range t.nodes {
-		if v.Fleet == nil { // then nothing is believed, and no log kept
+	for i, proc := range t.processes {
+		if v.Fleet == nil { // without a fleet there are no duties and no logs to read
 			break
 		}
-		f, err := os.Open(filepath.Join(t.dir, n.name+".log"))
+		f, err := os.Open(filepath.Join(t.tempDir, proc.name+".log"))
 		if err != nil {
 			return nil, nil, err
 		}
@@ -169,26 +175,27 @@
 	return res, r, nil
 }
 
-// publish puts documents of rules in their place at drawn moments, and tells one scheduler of each that lives; all
-// of them, one after the other, where each goes by what it reads.
-func (t *Tier) publish(ctx context.Context, e *Experiment, v *Variant, seed uint64) error {
+// publishRules replaces the rules file at the scheduled times and notifies one live scheduler, chosen at random,
+// of each new file. If the variant sets Reloaded, it notifies all live schedulers one after the other, in
+// random order and with random delays.
+func (t *Testbed) publishRules(ctx context.Context, e *Experiment, v *Variant, seed uint64) error {
 	rng := rand.New(rand.NewPCG(seed, 0xd0c))
-	begin, quiet := time.Now(), float64(e.Drawn.Quiet)
+	begin, quiet := time.Now(), float64(e.RandomFaults.Quiet)
 	length := float64(t.Shop.Length())
-	for i := range e.Drawn.Documents {
-		at := quiet + (length-2*quiet)*float64(i)/float64(e.Drawn.Documents)
+	for i := range e.RandomFaults.Documents {
+		at := quiet + (length-2*quiet)*float64(i)/float64(e.RandomFaults.Documents)
 		if !sleep(ctx, time.Until(begin.Add(time.Duration(at*1e6)))) {
 			return nil
 		}
-		if err := writeRules(filepath.Join(t.dir, v.Fleet.Rules.File), e.Shop.Classes[0].Name, 1+i%3, i); err != nil {
+		if err := writeRules(filepath.Join(t.tempDir, v.Fleet.Rules.File), e.Shop.Classes[0].Name, 1+i%3, i); err != nil {
 			return err
 		}
-		order := rng.Perm(len(t.nodes))
+		order := rng.Perm(len(t.processes))
 		for _, n := range order {
-			if t.nodes[n].down.Load() {
+			if t.processes[n].stopped.Load() {
 				continue
 			}
-			_ = t.nodes[n].cmd.Process.Signal(syscall.SIGHUP) // one that ended is found by Dead
+			_ = t.processes[n].cmd.Process.Signal(syscall.SIGHUP) // UnexpectedExit reports a process that exited by itself
 			if !v.Reloaded {
 				break
 			}
@@ -200,51 +207,52 @@
 	return nil
 }
 
-// writeRules writes a document, whole or not at all. Those of two numbers contradict each other.
-func writeRules(path, class string, attempts, n int) error {
-	text := fmt.Sprintf("[class.%q]\nattempts = %d\n\n[cold]\nshare = \"%d%%\"\n", class, attempts, 50+n%50)
+// writeRules replaces the rules file atomically. Documents with different indices contradict each other.
+func writeRules(path, class string, attempts, index int) error {
+	text := fmt.Sprintf("[class.%q]\nattempts = %d\n\n[cold]\nshare = \"%d%%\"\n", class, attempts, 50+index%50)
 	if err := os.WriteFile(path+".new", []byte(text), 0o600); err != nil {
 		return err
 	}
 	return os.Rename(path+".new", path)
 }
 
-// rulesTable tells of how versions were gone over to, and draws for how long two contradicted each other.
+// rulesTable writes a table of the version changes of rules, and a chart of the time that schedulers applied
+// contradicting versions.
 func (s *Summary) rulesTable(dir string, b *strings.Builder) error {
-	head := false
-	var names []string
-	var boxes []plotter.Values
+	headerWritten := false
+	var variants []string
+	var totals []plotter.Values
 	for i := range s.Runs {
 		r := &s.Runs[i]
 		if r.Fleet == nil || r.Fleet.Rules.Documents == 0 {
 			continue
 		}
-		if !head {
-			b.WriteString("\n| variant | schedulers | seed | documents acted on | changes of version | contradictions: n, p50, longest ms | falling numbers | two of a number | by a strict form, s in all | versions at the end |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n")
-			head = true
+		if !headerWritten {
+			b.WriteString("\n| variant | schedulers | seed | documents applied | version changes | contradictions: n, p50, max ms | number decreases | number conflicts | total time on a strict form, s | versions at the end |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n")
+			headerWritten = true
 		}
 		f := &r.Fleet.Rules
 		fmt.Fprintf(b, "| %s | %d | %d | %d | %d | %d, %.0f, %.0f | %d | %d | %.1f | %d |\n", r.Variant, r.Cell.Schedulers, r.Seed, f.Documents, f.Changes,
 			len(f.Contradictions), rig.Quantile(f.Contradictions, 0.5), rig.Quantile(f.Contradictions, 1), f.Regressions, f.NumberConflicts, f.StrictTime/1000, f.FinalVersions)
-		k := slices.Index(names, r.Variant)
-		if k < 0 {
-			k = len(names)
-			names, boxes = append(names, r.Variant), append(boxes, nil)
+		variant := slices.Index(variants, r.Variant)
+		if variant < 0 {
+			variant = len(variants)
+			variants, totals = append(variants, r.Variant), append(totals, nil)
 		}
 		sum := 0.0
 		for _, x := range f.Contradictions {
 			sum += x / 1000
 		}
-		boxes[k] = append(boxes[k], sum)
+		totals[variant] = append(totals[variant], sum)
 	}
-	if !head {
+	if !headerWritten {
 		return nil
 	}
 	p := plot.New()
-	p.Title.Text = "for how long two schedulers contradicted each other, over all pairs"
-	p.Y.Label.Text = "seconds in a day, the mean of the days"
-	means := make(plotter.Values, len(boxes))
-	for i, x := range boxes {
+	p.Title.Text = "time that two schedulers applied contradicting rules, sum over all pairs"
+	p.Y.Label.Text = "seconds per run, mean over all runs"
+	means := make(plotter.Values, len(totals))
+	for i, x := range totals {
 		for _, y := range x {
 			means[i] += y / float64(len(x))
 		}
@@ -254,23 +262,24 @@
 		return err
 	}
 	p.Add(bars)
-	p.NominalX(names...)
-	b.WriteString("\n![for how long two contradicted each other](contradictions.svg)\n")
+	p.NominalX(variants...)
+	b.WriteString("\n![time that two schedulers applied contradicting rules](contradictions.svg)\n")
 	return p.Save(16*vg.Centimeter, 9*vg.Centimeter, filepath.Join(dir, "contradictions.svg"))
 }
 
-// fleetTable tells what the fleets did, and draws the time line of the first day of each variant.
+// fleetTable writes a table of holdings and violations, and a timeline chart of the first run of each
+// variant and number of schedulers.
 func (s *Summary) fleetTable(dir string, b *strings.Builder) error {
-	head := false
+	headerWritten := false
 	drawn := map[string]bool{}
 	for i := range s.Runs {
 		r := &s.Runs[i]
 		if r.Fleet == nil {
 			continue
 		}
-		if !head {
-			b.WriteString("\n| variant | schedulers | seed | holdings | two holders | falling numbers | acts taken, refused, old ones taken | verdicts | held by nobody at the end | without a holder: n, p50, p99 ms | handed on: n, p50, p99 ms |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n")
-			head = true
+		if !headerWritten {
+			b.WriteString("\n| variant | schedulers | seed | holdings | two holders | numbers not increasing | acts accepted, refused, stale accepted | verdicts | duties unheld at the end | gaps without a holder: n, p50, p99 ms | handovers: n, p50, p99 ms |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n")
+			headerWritten = true
 		}
 		f := r.Fleet
 		fmt.Fprintf(b, "| %s | %d | %d | %d | %d | %d | %d, %d, %d | %d | %d | %d, %.0f, %.0f | %d, %.0f, %.0f |\n", r.Variant, r.Cell.Schedulers, r.Seed, len(f.Holdings), f.DoubleHolders, f.NonIncreasing, f.ActsTaken, f.ActsRefused, f.StaleActs, f.Verdicts, f.Unheld,
@@ -286,20 +295,20 @@
 		if err := timeline(r, filepath.Join(dir, name)); err != nil {
 			return err
 		}
-		fmt.Fprintf(b, "\n![who held what, when, and under which fault](%s)\n", name)
+		fmt.Fprintf(b, "\n![duty holders and faults over time](%s)\n", name)
 	}
 	return nil
 }
 
-// timeline draws who held what and when: a line for each scheduler, coloured by duty, and grey where it
-// was killed, stopped, asked to end or cut off.
+// timeline draws the holdings of a run over time, one line per scheduler, coloured by duty. Grey marks the
+// schedulers that a fault affects: dark for process faults, light for link faults.
 func timeline(r *Run, path string) error {
 	p := plot.New()
-	p.Title.Text = fmt.Sprintf("%s, seed %d: who held what", r.Variant, r.Seed)
+	p.Title.Text = fmt.Sprintf("%s, seed %d: duty holders", r.Variant, r.Seed)
 	p.X.Label.Text, p.Y.Label.Text = "seconds", "scheduler"
 	p.Y.Min, p.Y.Max = -1, float64(r.Cell.Schedulers)
-	line := func(who int, from, to, shift float64, width vg.Length, c color.Color) error {
-		l, err := plotter.NewLine(plotter.XYs{{X: from / 1000, Y: float64(who) + shift}, {X: to / 1000, Y: float64(who) + shift}})
+	addLine := func(scheduler int, from, to, shift float64, width vg.Length, c color.Color) error {
+		l, err := plotter.NewLine(plotter.XYs{{X: from / 1000, Y: float64(scheduler) + shift}, {X: to / 1000, Y: float64(scheduler) + shift}})
 		if err != nil {
 			return err
 		}
@@ -312,12 +321,12 @@
 		if f.Kind.OfWay() {
 			shade = color.Gray{Y: 235}
 		}
-		who := slices.Concat(f.From, f.To)
-		if f.Ways != "" { // then these are targets
-			who = f.From
+		affected := slices.Concat(f.From, f.To)
+		if f.Ways != "" { // To may contain targets
+			affected = f.From
 		}
-		for _, who := range who {
-			if err := line(who, float64(f.At), float64(f.At+f.Lasts), 0, 9, shade); err != nil {
+		for _, scheduler := range affected {
+			if err := addLine(scheduler, float64(f.At), float64(f.At+f.Lasts), 0, 9, shade); err != nil {
 				return err
 			}
 		}
@@ -330,7 +339,7 @@
 			d = len(duties)
 			duties = append(duties, h.Duty)
 		}
-		if err := line(h.Scheduler, h.From, h.To, 0.12*float64(d%len(colours))-0.18, 2.5, colours[d%len(colours)]); err != nil {
+		if err := addLine(h.Scheduler, h.From, h.To, 0.12*float64(d%len(colours))-0.18, 2.5, colours[d%len(colours)]); err != nil {
 			return err
 		}
 	}
--- a/internal/lab/fleet_test.go
+++ b/internal/lab/fleet_test.go
@@ -14,16 +14,16 @@
 	"cottonwell/internal/emulator"
 )
 
-// threeProcesses plays a script on three real processes of a program built with the given tags.
-func threeProcesses(t *testing.T, tags string) *Summary {
+// runThreeProcesses runs a script of faults on three scheduler processes of a program built with the given tags.
+func runThreeProcesses(t *testing.T, tags string) *Summary {
 	if testing.Short() {
-		t.Skip("takes some 15 seconds")
+		t.Skip("takes about 15 s")
 	}
 	t.Parallel()
 	program := filepath.Join(t.TempDir(), "cottonwell")
 	out, err := exec.Command("go", "build", "-tags", tags, "-o", program, "../../cmd/cottonwell").CombinedOutput()
 	require.NoError(t, err, string(out))
-	e, err := Load(file(t, `title = "three processes"
+	e, err := Load(writeExperiment(t, `title = "three processes"
 engine = "sockets"
 seeds = 1
 [shop]
@@ -113,23 +113,23 @@
 name = "reporter"
 `))
 	require.NoError(t, err)
-	s, err := e.Do(context.Background(), Options{Seed: 2, Scheduler: program, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
+	s, err := e.Run(context.Background(), Options{Seed: 2, Scheduler: program, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 	require.NoError(t, err)
 	return s
 }
 
-// One is asked to end, one stopped for longer than its lease, one cut off, one killed. Nobody ever believes
-// what another believes, numbers rise, and duties are held on.
+// One scheduler is terminated, one suspended for longer than its lease, one partitioned, one killed. No two
+// schedulers hold a duty at once, numbers increase, and all duties have a holder at the end.
 func TestDutiesOnProcesses(t *testing.T) {
-	s := threeProcesses(t, "")
+	s := runThreeProcesses(t, "")
 	f := s.Runs[0].Fleet
-	t.Logf("%d holdings, without a holder %.0f ms, handed on %.0f ms, served %.2f", len(f.Holdings), f.Gaps, f.HandoverGaps, s.Runs[0].Small.Share())
+	t.Logf("%d holdings, gaps without a holder %.0f ms, handovers %.0f ms, served %.2f", len(f.Holdings), f.Gaps, f.HandoverGaps, s.Runs[0].Small.Share())
 	require.Zero(t, f.DoubleHolders, "two holders")
-	require.Zero(t, f.NonIncreasing, "falling numbers")
-	require.Zero(t, f.StaleActs, "acts taken under old numbers")
+	require.Zero(t, f.NonIncreasing, "numbers not increasing")
+	require.Zero(t, f.StaleActs, "acts accepted under stale numbers")
 	require.Greater(t, f.ActsTaken, 20)
-	require.Positive(t, f.Verdicts, "a target fails, and nobody judges it for all")
-	require.Zero(t, f.Unheld, "held by nobody at the end")
+	require.Positive(t, f.Verdicts, "a target fails, but no scheduler received a verdict")
+	require.Zero(t, f.Unheld, "duties without a holder at the end")
 	require.Greater(t, len(f.Holdings), 5)
 	dir := t.TempDir()
 	page, err := s.Report(dir)
@@ -140,18 +140,18 @@
 	require.FileExists(t, filepath.Join(dir, "timeline-duties-3.svg"))
 }
 
-// The same script with a program made wrong on purpose, whose holders believe on while they stand still: the
-// checker finds two holders.
+// A program that is faulty on purpose, whose suspended holders still believe that they hold the duty after the
+// lease: the checker finds two holders.
 func TestTheRigFindsTwoHolders(t *testing.T) {
-	require.Positive(t, threeProcesses(t, "wrong_trust").Runs[0].Fleet.DoubleHolders)
+	require.Positive(t, runThreeProcesses(t, "wrong_trust").Runs[0].Fleet.DoubleHolders)
 }
 
-// And with one that takes acts under any number, acts that come late are found.
+// A program that is faulty on purpose and accepts acts under any number: the checker finds acts that arrive late.
 func TestTheRigFindsOldActs(t *testing.T) {
-	require.Positive(t, threeProcesses(t, "wrong_fence").Runs[0].Fleet.StaleActs)
+	require.Positive(t, runThreeProcesses(t, "wrong_fence").Runs[0].Fleet.StaleActs)
 }
 
-func TestScriptsOfADay(t *testing.T) {
+func TestScriptDependsOnSeed(t *testing.T) {
 	e, err := Load("../../experiments/duties.toml")
 	require.NoError(t, err)
 	spec := e.spec(e.cells(false)[1], false)
@@ -160,7 +160,7 @@
 	require.Equal(t, one, e.script(spec, 1))
 	require.NotEqual(t, one, two)
 	require.NoError(t, one.Check(9))
-	_, err = Load(file(t, small+"[drawn]\nfaults = 3\nquiet = '100ms'\n"))
+	_, err = Load(writeExperiment(t, smallExperiment+"[drawn]\nfaults = 3\nquiet = '100ms'\n"))
 	require.ErrorContains(t, err, "need real processes")
 	_, err = emulator.NewWorld(&emulator.Spec{}, 1, nil)
 	require.Error(t, err)
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -1,5 +1,11 @@
-// Package lab runs experiments: one shop, several variants of settings side by side on the
-// same seeds, and checks of what came of them.
+// Package lab runs experiments that compare variants of scheduler settings on an emulated site.
+//
+// Load reads an experiment file. Experiment.Run runs every variant with the same seeds, either with real
+// scheduler processes on loopback sockets or with the decision module in virtual time, and returns a Summary with
+// the results of all runs and of the file's checks. A Summary can be written, read back, turned into a report with
+// charts, and compared with another one. StartReady starts a Testbed alone, an emulated site with scheduler
+// processes, without an experiment. Package lab does not emulate the site itself (see emulator and shopfront) and
+// defines no faults (see faults).
 package lab
 
 import (
@@ -20,35 +26,35 @@
 
 // Experiment is an experiment file.
 type Experiment struct {
-	Title      string        `toml:"title"`
-	About      string        `toml:"about"`
-	Engine     string        `toml:"engine"` // sockets: real processes; model: virtual time
-	Seeds      int           `toml:"seeds"`
-	QuickSeeds int           `toml:"quick_seeds"`
-	QuickFor   units.Millis  `toml:"quick_length"` // of a day in the quick form
-	Shop       emulator.Spec `toml:"shop"`
-	Drawn      Drawn         `toml:"drawn"`
-	Variants   []Variant     `toml:"variant"`
-	Sweep      Sweep         `toml:"sweep"`
-	QuickSweep Sweep         `toml:"quick_sweep"`
-	Checks     []Check       `toml:"check"`
+	Title        string        `toml:"title"`
+	About        string        `toml:"about"`
+	Engine       string        `toml:"engine"` // sockets: real processes; model: virtual time without processes
+	Seeds        int           `toml:"seeds"`
+	QuickSeeds   int           `toml:"quick_seeds"`
+	QuickLength  units.Millis  `toml:"quick_length"` // length of a run in the quick form
+	Shop         emulator.Spec `toml:"shop"`
+	RandomFaults RandomFaults  `toml:"drawn"`
+	Variants     []Variant     `toml:"variant"`
+	Sweep        Sweep         `toml:"sweep"`
+	QuickSweep   Sweep         `toml:"quick_sweep"`
+	Checks       []Check       `toml:"check"`
 
 	file string
 }
 
-// Variant is one way to run the schedulers.
+// Variant is one configuration of the schedulers.
 type Variant struct {
 	Name  string        `toml:"name"`
 	Room  *config.Room  `toml:"room"`
 	Fleet *config.Fleet `toml:"fleet"`
-	// Tags build the scheduler anew, as a program that is made wrong on purpose: what its runs break counts
-	// for nothing but the checks that name it. The experiment is then run from the project's folder.
+	// Tags are build tags for a scheduler program that is faulty on purpose. Violations in its runs count only in
+	// checks that name the variant. The experiment must run in the project's folder, where the program is built.
 	Tags string `toml:"tags"`
-	// Reloaded: all schedulers are told of a new file of rules, not one of them.
+	// Reloaded notifies all schedulers of a new rules file. Otherwise one scheduler is notified.
 	Reloaded bool `toml:"reloaded"`
 }
 
-// Sweep multiplies the shop by each combination of what is listed.
+// Sweep lists values for parameters of the site. The experiment runs each combination of them.
 type Sweep struct {
 	Level      []units.Share `toml:"level"`
 	Wide       []units.Share `toml:"wide"`
@@ -56,37 +62,37 @@
 	Loss       []units.Share `toml:"datagram_loss"`
 }
 
-// Check is what an experiment must show.
+// Check is a condition on the results of an experiment.
 type Check struct {
 	Name    string       `toml:"name"`
 	Figure  string       `toml:"figure"` // large_in_time, small_in_time, worth, broken, unheld, two_holders, old_acts, contradictions or last_versions
 	Variant string       `toml:"variant"`
 	Min     *units.Share `toml:"min"`
 	Max     *units.Share `toml:"max"`
-	Against string       `toml:"against"`   // another variant: its figure less this one's,
-	Drop    *units.Share `toml:"most_drop"` // in every cell, at most so much
+	Against string       `toml:"against"`   // the variant to compare with
+	MaxDrop *units.Share `toml:"most_drop"` // upper bound, in every cell, of Against's figure minus Variant's
 }
 
 // Cell is one combination of a sweep.
 type Cell struct {
 	Level      float64 `json:"level"`
-	Wide       float64 `json:"wide"` // below 0: as the classes say
+	Wide       float64 `json:"wide"` // negative: as the classes define it
 	Schedulers int     `json:"schedulers"`
 	Loss       float64 `json:"datagram_loss"`
 }
 
-// Run is one day of one variant.
+// Run is the result of one run of one variant with one seed.
 type Run struct {
-	Variant string      `json:"variant"`
-	Cell    Cell        `json:"cell"`
-	Seed    uint64      `json:"seed"`
-	Wrong   bool        `json:"wrong,omitempty"` // a program made wrong on purpose
-	Fleet   *rig.Result `json:"fleet,omitempty"` // where schedulers share out duties
+	Variant     string      `json:"variant"`
+	Cell        Cell        `json:"cell"`
+	Seed        uint64      `json:"seed"`
+	FaultyBuild bool        `json:"wrong,omitempty"` // the scheduler program is faulty on purpose
+	Fleet       *rig.Result `json:"fleet,omitempty"` // nil without a fleet and without faults
 	emulator.Result
 }
 
-// Rules is how often any rule or promise was broken.
-func (r *Run) Rules() int {
+// Violations returns how often a rule of the protocol or a guarantee of the fleet was violated.
+func (r *Run) Violations() int {
 	n := r.Result.Rules()
 	if r.Fleet != nil {
 		n += r.Fleet.Violations()
@@ -94,7 +100,7 @@
 	return n
 }
 
-// Outcome of a check.
+// Outcome is the result of a check.
 type Outcome struct {
 	Name  string  `json:"name"`
 	Value float64 `json:"value"`
@@ -102,85 +108,85 @@
 	OK    bool    `json:"ok"`
 }
 
-// Summary is what an experiment leaves behind.
+// Summary holds the results of an experiment.
 type Summary struct {
-	Title  string    `json:"title"`
-	About  string    `json:"about"`
-	Engine string    `json:"engine"`
-	Quick  bool      `json:"quick"`
-	Seeds  []uint64  `json:"seeds"`
-	Order  []string  `json:"variants"`
-	Runs   []Run     `json:"runs"`
-	Checks []Outcome `json:"checks"`
+	Title    string    `json:"title"`
+	About    string    `json:"about"`
+	Engine   string    `json:"engine"`
+	Quick    bool      `json:"quick"`
+	Seeds    []uint64  `json:"seeds"`
+	Variants []string  `json:"variants"`
+	Runs     []Run     `json:"runs"`
+	Checks   []Outcome `json:"checks"`
 }
 
-// Load reads an experiment file and checks it.
+// Load reads and validates an experiment file.
 func Load(path string) (*Experiment, error) {
 	e := &Experiment{Seeds: 3, QuickSeeds: 1, Engine: "sockets", file: path}
 	if err := tomlfile.Load(path, e); err != nil {
 		return nil, err
 	}
-	if err := e.check(); err != nil {
+	if err := e.validate(); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	return e, nil
 }
 
-func (e *Experiment) check() error {
+func (e *Experiment) validate() error {
 	if err := e.Shop.Check(); err != nil {
 		return fmt.Errorf("shop: %w", err)
 	}
 	switch {
 	case e.Engine != "sockets" && e.Engine != "model":
-		return fmt.Errorf("engine is %q, and may be sockets or model", e.Engine)
-	case e.Engine == "model" && (e.Drawn.Faults+e.Drawn.Beside+e.Drawn.Documents > 0 || slices.ContainsFunc(e.Variants, func(v Variant) bool { return v.Fleet != nil })):
+		return fmt.Errorf("engine %q: want sockets or model", e.Engine)
+	case e.Engine == "model" && (e.RandomFaults.Faults+e.RandomFaults.ConnectionFaults+e.RandomFaults.Documents > 0 || slices.ContainsFunc(e.Variants, func(v Variant) bool { return v.Fleet != nil })):
 		return fmt.Errorf("drawn faults and variants with a fleet need real processes: engine sockets")
-	case min(e.Drawn.Faults, e.Drawn.Beside) < 0 || e.Drawn.Faults+e.Drawn.Beside > 1000 || e.Drawn.Faults+e.Drawn.Beside > 0 && 3*e.Drawn.Quiet >= min(e.Shop.Length, max(e.QuickFor, 3*e.Drawn.Quiet+1)):
-		return fmt.Errorf("drawn: %d faults with quiet of %gms: up to 1000, and a third of the day at most", e.Drawn.Faults, float64(e.Drawn.Quiet))
+	case min(e.RandomFaults.Faults, e.RandomFaults.ConnectionFaults) < 0 || e.RandomFaults.Faults+e.RandomFaults.ConnectionFaults > 1000 || e.RandomFaults.Faults+e.RandomFaults.ConnectionFaults > 0 && 3*e.RandomFaults.Quiet >= min(e.Shop.Length, max(e.QuickLength, 3*e.RandomFaults.Quiet+1)):
+		return fmt.Errorf("drawn: %d faults with quiet %gms: want at most 1000 faults and quiet below a third of the run", e.RandomFaults.Faults, float64(e.RandomFaults.Quiet))
 	case e.Seeds < 1 || e.QuickSeeds < 1 || e.Seeds > 1000:
-		return fmt.Errorf("seeds and quick_seeds may be 1 to 1000")
+		return fmt.Errorf("seeds and quick_seeds must be 1 to 1000")
 	case e.Engine == "model" && slices.ContainsFunc(e.Variants, func(v Variant) bool { return v.Tags != "" }):
 		return fmt.Errorf("variants with tags need real processes: engine sockets")
 	case len(e.Variants) == 0:
-		return fmt.Errorf("no variant to run")
+		return fmt.Errorf("no variants")
 	}
 	settings := e.Shop.Settings(0)
 	for i, v := range e.Variants {
 		if v.Name == "" || slices.ContainsFunc(e.Variants[:i], func(x Variant) bool { return x.Name == v.Name }) {
-			return fmt.Errorf("variant %q has no name of its own", v.Name)
+			return fmt.Errorf("variant %q: name is empty or used twice", v.Name)
 		}
-		if err := v.check(settings); err != nil {
+		if err := v.validate(settings); err != nil {
 			return fmt.Errorf("variant %q: %w", v.Name, err)
 		}
 	}
-	has := func(name string) bool {
+	hasVariant := func(name string) bool {
 		return slices.ContainsFunc(e.Variants, func(v Variant) bool { return v.Name == name })
 	}
 	for _, c := range e.Checks {
 		switch {
-		case !has(c.Variant) || c.Against != "" && !has(c.Against):
-			return fmt.Errorf("check %q names a variant that is not there", c.Name)
+		case !hasVariant(c.Variant) || c.Against != "" && !hasVariant(c.Against):
+			return fmt.Errorf("check %q: unknown variant", c.Name)
 		case figures[c.Figure] == nil:
-			return fmt.Errorf("check %q: no figure is called %q", c.Name, c.Figure)
-		case (c.Min != nil) == (c.Max != nil) && c.Drop == nil, (c.Drop != nil) != (c.Against != ""):
-			return fmt.Errorf("check %q needs min, or max, or against with most_drop", c.Name)
+			return fmt.Errorf("check %q: unknown figure %q", c.Name, c.Figure)
+		case (c.Min != nil) == (c.Max != nil) && c.MaxDrop == nil, (c.MaxDrop != nil) != (c.Against != ""):
+			return fmt.Errorf("check %q: want either min or max, or against with most_drop", c.Name)
 		}
 	}
 	return nil
 }
 
-func (v *Variant) check(s balance.Settings) error {
+func (v *Variant) validate(s balance.Settings) error {
 	if v.Fleet != nil {
 		f := *v.Fleet
-		f.Rules = nil // its file is made for each day
+		f.Rules = nil // the testbed writes the file for each run
 		if err := f.Check(&s); err != nil {
 			return err
 		}
 		if r := v.Fleet.Rules; r != nil && filepath.Base(r.File) != r.File {
-			return fmt.Errorf("fleet.rules.file is %q, and may be a name alone", r.File)
+			return fmt.Errorf("fleet.rules.file %q: want a file name without a folder", r.File)
 		}
 	}
-	p := v.plan()
+	p := v.roomConfig()
 	if p == nil {
 		return nil
 	}
@@ -190,18 +196,19 @@
 	return p.Check()
 }
 
-func (v *Variant) plan() *room.Config {
+// roomConfig returns the reservation settings of the variant, or nil if reservations are disabled.
+func (v *Variant) roomConfig() *room.Config {
 	if v.Room == nil {
 		return nil
 	}
 	return v.Room.Plan()
 }
 
-// cells lists the combinations of a sweep; one that lists nothing is the shop as it is.
+// cells returns the combinations of the sweep's values. An empty sweep yields one cell, the site as configured.
 func (e *Experiment) cells(quick bool) (out []Cell) {
-	s := e.Sweep
+	sweep := e.Sweep
 	if q := e.QuickSweep; quick && len(q.Level)+len(q.Wide)+len(q.Schedulers)+len(q.Loss) > 0 {
-		s = q
+		sweep = q
 	}
 	base := Cell{Level: float64(e.Shop.Level), Wide: -1, Schedulers: e.Shop.Schedulers, Loss: float64(e.Shop.DatagramLoss)}
 	if e.Shop.Wide != nil {
@@ -222,32 +229,33 @@
 		}
 		out = next
 	}
-	expand(len(s.Level), func(c *Cell, i int) { c.Level = float64(s.Level[i]) })
-	expand(len(s.Wide), func(c *Cell, i int) { c.Wide = float64(s.Wide[i]) })
-	expand(len(s.Schedulers), func(c *Cell, i int) { c.Schedulers = s.Schedulers[i] })
-	expand(len(s.Loss), func(c *Cell, i int) { c.Loss = float64(s.Loss[i]) })
+	expand(len(sweep.Level), func(c *Cell, i int) { c.Level = float64(sweep.Level[i]) })
+	expand(len(sweep.Wide), func(c *Cell, i int) { c.Wide = float64(sweep.Wide[i]) })
+	expand(len(sweep.Schedulers), func(c *Cell, i int) { c.Schedulers = sweep.Schedulers[i] })
+	expand(len(sweep.Loss), func(c *Cell, i int) { c.Loss = float64(sweep.Loss[i]) })
 	return out
 }
 
-// spec is the shop of a cell.
+// spec returns the configuration of the site for a cell.
 func (e *Experiment) spec(c Cell, quick bool) *emulator.Spec {
-	s := e.Shop
-	s.Level, s.Schedulers, s.DatagramLoss = units.Share(c.Level), c.Schedulers, units.Share(c.Loss)
+	spec := e.Shop
+	spec.Level, spec.Schedulers, spec.DatagramLoss = units.Share(c.Level), c.Schedulers, units.Share(c.Loss)
 	if c.Wide >= 0 {
 		w := units.Share(c.Wide)
-		s.Wide = &w
+		spec.Wide = &w
 	}
-	if quick && e.QuickFor > 0 {
-		s.Length = e.QuickFor
+	if quick && e.QuickLength > 0 {
+		spec.Length = e.QuickLength
 	}
-	return &s
+	return &spec
 }
 
+// figures holds the figures that a check can name, by name.
 var figures = map[string]func(r *Run) float64{
 	"large_in_time": func(r *Run) float64 { return r.Large.Share() },
 	"small_in_time": func(r *Run) float64 { return r.Small.Share() },
 	"worth":         func(r *Run) float64 { return r.Worth },
-	"broken":        func(r *Run) float64 { return float64(r.Rules()) },
+	"broken":        func(r *Run) float64 { return float64(r.Violations()) },
 	"contradictions": func(r *Run) float64 {
 		if r.Fleet == nil {
 			return 0
@@ -280,7 +288,7 @@
 	},
 }
 
-// mean is a figure of a variant in a cell, over the seeds.
+// mean returns the mean of a variant's figure in a cell over all seeds, or NaN without runs.
 func (s *Summary) mean(variant string, c Cell, figure string) float64 {
 	sum, n := 0.0, 0
 	for i := range s.Runs {
@@ -295,7 +303,7 @@
 	return sum / float64(n)
 }
 
-// cells lists the cells that were run, in their order.
+// cells returns the cells of all runs in order.
 func (s *Summary) cells() (out []Cell) {
 	for _, r := range s.Runs {
 		if !slices.Contains(out, r.Cell) {
@@ -305,42 +313,42 @@
 	return out
 }
 
-// check holds the runs against the experiment's checks: each in every cell, and what is
-// told is the worst. That no rule is broken in any run is always checked.
-func (s *Summary) check(e *Experiment) {
+// evaluateChecks evaluates each check of the experiment in every cell and records the worst value. It adds a
+// check that no run of a correct build violates a rule.
+func (s *Summary) evaluateChecks(e *Experiment) {
 	for _, c := range e.Checks {
-		o := Outcome{Name: c.Name, OK: true}
+		outcome := Outcome{Name: c.Name, OK: true}
 		for i, cell := range s.cells() {
 			x := s.mean(c.Variant, cell, c.Figure)
-			bound, low := 0.0, false
+			bound, isMin := 0.0, false
 			switch {
-			case c.Drop != nil:
-				x, bound = s.mean(c.Against, cell, c.Figure)-x, float64(*c.Drop)
+			case c.MaxDrop != nil:
+				x, bound = s.mean(c.Against, cell, c.Figure)-x, float64(*c.MaxDrop)
 			case c.Min != nil:
-				bound, low = float64(*c.Min), true
+				bound, isMin = float64(*c.Min), true
 			default:
 				bound = float64(*c.Max)
 			}
-			if ok := low && x >= bound || !low && x <= bound; !ok {
-				o.OK = false
+			if ok := isMin && x >= bound || !isMin && x <= bound; !ok {
+				outcome.OK = false
 			}
-			if i == 0 || low && x < o.Value || !low && x > o.Value {
-				o.Value, o.Bound = x, bound
+			if i == 0 || isMin && x < outcome.Value || !isMin && x > outcome.Value {
+				outcome.Value, outcome.Bound = x, bound
 			}
 		}
-		s.Checks = append(s.Checks, o)
+		s.Checks = append(s.Checks, outcome)
 	}
-	broken := Outcome{Name: "no rule is broken, in any run", OK: true}
+	violations := Outcome{Name: "no rule is broken, in any run", OK: true}
 	for i := range s.Runs {
-		if !s.Runs[i].Wrong {
-			broken.Value += float64(s.Runs[i].Rules())
+		if !s.Runs[i].FaultyBuild {
+			violations.Value += float64(s.Runs[i].Violations())
 		}
 	}
-	broken.OK = broken.Value == 0
-	s.Checks = append(s.Checks, broken)
+	violations.OK = violations.Value == 0
+	s.Checks = append(s.Checks, violations)
 }
 
-// OK says whether every check held.
+// OK reports whether every check passed.
 func (s *Summary) OK() bool {
 	return !slices.ContainsFunc(s.Checks, func(o Outcome) bool { return !o.OK })
 }
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -13,7 +13,7 @@
 	"cottonwell/internal/units"
 )
 
-const small = `title = "small"
+const smallExperiment = `title = "small"
 engine = "model"
 seeds = 3
 [shop]
@@ -40,31 +40,31 @@
 room = {large_slots = 4.0}
 `
 
-func file(t *testing.T, text string) string {
+func writeExperiment(t *testing.T, text string) string {
 	path := filepath.Join(t.TempDir(), "x.toml")
 	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 	return path
 }
 
-func TestEachMistakeIsOneClearError(t *testing.T) {
+func TestLoadReportsOneErrorPerMistake(t *testing.T) {
 	for name, c := range map[string]struct{ old, new, want string }{
-		"unknown key":         {`seeds = 3`, `seed = 3`, ":3: unknown key seed"},
-		"key of a table":      {`queue = 16`, `queues = 16`, ":13: unknown key shop.kind.queues"},
-		"figure without unit": {`length = "3s"`, `length = "3000"`, `:7: shop.length: "3000" is not a time with its unit`},
-		"share without sign":  {`level = "80%"`, `level = "0.8"`, `:5: shop.level: "0.8" is not a share`},
-		"no workers":          {`count = 6`, `count = 0`, "a fleet of no workers"},
-		"broken toml":         {`[shop]`, `[shop`, ":5: expected"},
-		"no variant's name":   {`name = "room"`, `name = "none"`, `variant "none" has no name of its own`},
-		"planner's setting":   {`large_slots = 4.0`, `confidence = "10%"`, `variant "room": room.confidence`},
-		"unknown engine":      {`"model"`, `"paper"`, `engine is "paper"`},
-		"unknown order":       {`queue = 16`, "queue = 16\norder = \"lifo\"", `order "lifo"`},
-		"unknown trouble":     {`[[variant]]`, "[[shop.trouble]]\nkind = \"flood2\"\n[[variant]]", `no trouble is called "flood2"`},
-		"unknown variant":     {`[[variant]]`, "[[check]]\nname = \"c\"\nfigure = \"broken\"\nvariant = \"x\"\nmax = \"1%\"\n[[variant]]", "names a variant that is not there"},
-		"unknown figure":      {`[[variant]]`, "[[check]]\nname = \"c\"\nfigure = \"joy\"\nvariant = \"none\"\nmax = \"1%\"\n[[variant]]", `no figure is called "joy"`},
-		"check of nothing":    {`[[variant]]`, "[[check]]\nname = \"c\"\nfigure = \"broken\"\nvariant = \"none\"\n[[variant]]", "needs min, or max"},
+		"unknown key":                {`seeds = 3`, `seed = 3`, ":3: unknown key seed"},
+		"unknown key in a table":     {`queue = 16`, `queues = 16`, ":13: unknown key shop.kind.queues"},
+		"time without unit":          {`length = "3s"`, `length = "3000"`, `:7: shop.length: "3000" is not a time with its unit`},
+		"share without percent sign": {`level = "80%"`, `level = "0.8"`, `:5: shop.level: "0.8" is not a share`},
+		"no workers":                 {`count = 6`, `count = 0`, "a fleet of no workers"},
+		"malformed TOML":             {`[shop]`, `[shop`, ":5: expected"},
+		"duplicate variant":          {`name = "room"`, `name = "none"`, `variant "none": name is empty or used twice`},
+		"invalid room setting":       {`large_slots = 4.0`, `confidence = "10%"`, `variant "room": room.confidence`},
+		"unknown engine":             {`"model"`, `"paper"`, `engine "paper": want sockets or model`},
+		"unknown order":              {`queue = 16`, "queue = 16\norder = \"lifo\"", `order "lifo"`},
+		"unknown trouble":            {`[[variant]]`, "[[shop.trouble]]\nkind = \"flood2\"\n[[variant]]", `no trouble is called "flood2"`},
+		"unknown variant":            {`[[variant]]`, "[[check]]\nname = \"c\"\nfigure = \"broken\"\nvariant = \"x\"\nmax = \"1%\"\n[[variant]]", `check "c": unknown variant`},
+		"unknown figure":             {`[[variant]]`, "[[check]]\nname = \"c\"\nfigure = \"joy\"\nvariant = \"none\"\nmax = \"1%\"\n[[variant]]", `unknown figure "joy"`},
+		"check without bound":        {`[[variant]]`, "[[check]]\nname = \"c\"\nfigure = \"broken\"\nvariant = \"none\"\n[[variant]]", "want either min or max"},
 	} {
-		require.Contains(t, small, c.old, name)
-		_, err := Load(file(t, strings.Replace(small, c.old, c.new, 1)))
+		require.Contains(t, smallExperiment, c.old, name)
+		_, err := Load(writeExperiment(t, strings.Replace(smallExperiment, c.old, c.new, 1)))
 		require.ErrorContains(t, err, c.want, name)
 		require.NotContains(t, err.Error(), "\n", name)
 	}
@@ -73,7 +73,7 @@
 }
 
 func TestRunReportAndDiff(t *testing.T) {
-	text := small + `[[check]]
+	text := smallExperiment + `[[check]]
 name = "few large ones are in time"
 figure = "large_in_time"
 variant = "none"
@@ -85,13 +85,13 @@
 against = "none"
 most_drop = "100%"
 `
-	e, err := Load(file(t, text))
+	e, err := Load(writeExperiment(t, text))
 	require.NoError(t, err)
-	s, err := e.Do(context.Background(), Options{Seed: 4})
+	s, err := e.Run(context.Background(), Options{Seed: 4})
 	require.NoError(t, err)
 	require.Len(t, s.Runs, 6)
 	require.Len(t, s.Checks, 3)
-	require.False(t, s.Checks[0].OK, "a check that does not hold must fail")
+	require.False(t, s.Checks[0].OK, "the bound of the check is not met")
 	require.True(t, s.Checks[1].OK && s.Checks[2].OK)
 	require.False(t, s.OK())
 	dir := t.TempDir()
@@ -106,31 +106,31 @@
 	require.Contains(t, string(data), "**fails**")
 	require.FileExists(t, filepath.Join(dir, "in-time.svg"))
 	require.Contains(t, Diff(s, back), "within the noise")
-	// The same again is the same; other seeds have nothing in common.
-	again, err := e.Do(context.Background(), Options{Seed: 4})
+	// The same seeds give the same results; other seeds have no run in common.
+	again, err := e.Run(context.Background(), Options{Seed: 4})
 	require.NoError(t, err)
 	for i := range s.Runs {
 		require.Equal(t, s.Runs[i].Large.InTime, again.Runs[i].Large.InTime)
 	}
-	other, err := e.Do(context.Background(), Options{Seed: 40})
+	other, err := e.Run(context.Background(), Options{Seed: 40})
 	require.NoError(t, err)
 	require.Contains(t, Diff(s, other), "no run in common")
 }
 
-func TestSweepMakesEachCombination(t *testing.T) {
-	e, err := Load(file(t, small+"[sweep]\nlevel = [\"60%\", \"90%\"]\nschedulers = [1, 2, 4]\n[quick_sweep]\nlevel = [\"70%\"]\n"))
+func TestSweepExpandsEachCombination(t *testing.T) {
+	e, err := Load(writeExperiment(t, smallExperiment+"[sweep]\nlevel = [\"60%\", \"90%\"]\nschedulers = [1, 2, 4]\n[quick_sweep]\nlevel = [\"70%\"]\n"))
 	require.NoError(t, err)
 	require.Len(t, e.cells(false), 6)
 	quick := e.cells(true)
 	require.Len(t, quick, 1)
 	require.Equal(t, units.Share(0.7), e.spec(quick[0], true).Level)
-	require.Equal(t, units.Share(0.8), e.Shop.Level, "the experiment itself stays as it was read")
+	require.Equal(t, units.Share(0.8), e.Shop.Level, "spec does not change the experiment")
 }
 
-func TestInterval(t *testing.T) {
-	mean, half := interval([]float64{0.1, 0.2, 0.3})
+func TestConfidenceInterval(t *testing.T) {
+	mean, half := confidenceInterval([]float64{0.1, 0.2, 0.3})
 	require.InDelta(t, 0.2, mean, 1e-9)
 	require.InDelta(t, 4.30*0.1/math.Sqrt(3), half, 1e-9)
-	_, half = interval([]float64{1})
+	_, half = confidenceInterval([]float64{1})
 	require.True(t, math.IsInf(half, 1))
 }
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -14,8 +14,7 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Report writes a page in Markdown and its charts beside the summary, and returns the
-// page's path.
+// Report writes report.md, in Markdown, and its charts to a folder, and returns the path of report.md.
 func (s *Summary) Report(dir string) (string, error) {
 	var b strings.Builder
 	fmt.Fprintf(&b, "# %s\n\n", s.Title)
@@ -28,22 +27,22 @@
 	}
 	engine := "real scheduler processes on loopback sockets"
 	if s.Engine == "model" {
-		engine = "the deciders in virtual time"
+		engine = "the decision module in virtual time"
 	}
-	fmt.Fprintf(&b, "Played with %s, %s, seeds %v. Shares are of requests asked for that were answered within their wanted time.\n\n", engine, form, s.Seeds)
+	fmt.Fprintf(&b, "Run with %s, %s, seeds %v. Shares are of all requests: those with a response within their latency target.\n\n", engine, form, s.Seeds)
 	b.WriteString("| check | value | bound | |\n| --- | --- | --- | --- |\n")
 	for _, c := range s.Checks {
-		verdict := "holds"
+		verdict := "passes"
 		if !c.OK {
 			verdict = "**fails**"
 		}
 		fmt.Fprintf(&b, "| %s | %.4g | %.4g | %s |\n", c.Name, c.Value, c.Bound, verdict)
 	}
 	cells := s.cells()
-	b.WriteString("\n| shop | variant | large in time | small in time | large p50, p99 ms | small p50, p99 ms | held | in gaps (wrong) | let go before use |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n")
+	b.WriteString("\n| site | variant | large in time | small in time | large p50, p99 ms | small p50, p99 ms | reservations | backfilled (ended late) | released unused |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n")
 	for _, c := range cells {
-		for _, v := range s.Order {
-			r := s.sum(v, c)
+		for _, v := range s.Variants {
+			r := s.aggregate(v, c)
 			lost := 0
 			for why, n := range r.Room.LetGo {
 				if why != "placed" && why != "unheard" {
@@ -72,8 +71,8 @@
 	return path, os.WriteFile(path, []byte(b.String()), 0o644)
 }
 
-// sum adds up a variant's days in a cell; of the quantiles it gives the mean.
-func (s *Summary) sum(variant string, c Cell) (out Run) {
+// aggregate adds up the counts of a variant's runs in a cell and averages the latency quantiles.
+func (s *Summary) aggregate(variant string, c Cell) (out Run) {
 	out.Room.LetGo = map[string]int{}
 	n := 0.0
 	for i := range s.Runs {
@@ -97,14 +96,15 @@
 
 var palette = []color.RGBA{{0x33, 0x33, 0x33, 255}, {0xd5, 0x5e, 0, 255}, {0, 0x72, 0xb2, 255}, {0, 0x9e, 0x73, 255}, {0xcc, 0x79, 0xa7, 255}}
 
-// charts draws bars for one cell, and for a sweep where room pays: the gain of the last
-// variant over the first, by load, a line for each share of wide work.
+// charts draws a bar chart for one cell. For a sweep it draws the gain of the last variant over the first by load,
+// with one line for each share of the work that comes in wide jobs, those of the most slots. It returns the file
+// names.
 func (s *Summary) charts(dir string, cells []Cell) ([]string, error) {
 	if len(cells) == 1 {
-		return s.bars(dir, cells[0])
+		return s.barChart(dir, cells[0])
 	}
 	var names []string
-	first, last := s.Order[0], s.Order[len(s.Order)-1]
+	first, last := s.Variants[0], s.Variants[len(s.Variants)-1]
 	var groups []Cell
 	for _, c := range cells {
 		g := Cell{Schedulers: c.Schedulers, Loss: c.Loss}
@@ -115,8 +115,8 @@
 	for _, g := range groups {
 		for _, figure := range []string{"large_in_time", "small_in_time"} {
 			p := plot.New()
-			p.Title.Text = fmt.Sprintf("%s: %s less %s\n%d schedulers, %.0f%% of datagrams lost", strings.ReplaceAll(figure, "_", " "), last, first, g.Schedulers, 100*g.Loss)
-			p.X.Label.Text, p.Y.Label.Text = "load, %", "points"
+			p.Title.Text = fmt.Sprintf("%s: %s minus %s\n%d schedulers, %.0f%% datagram loss", strings.ReplaceAll(figure, "_", " "), last, first, g.Schedulers, 100*g.Loss)
+			p.X.Label.Text, p.Y.Label.Text = "load, %", "percentage points"
 			p.Legend.Top = true
 			p.Add(plotter.NewGrid())
 			var wides []float64
@@ -150,14 +150,15 @@
 	return names, nil
 }
 
-func (s *Summary) bars(dir string, c Cell) ([]string, error) {
+// barChart draws the shares of large and of small jobs in time, by variant, and returns the file name.
+func (s *Summary) barChart(dir string, c Cell) ([]string, error) {
 	p := plot.New()
-	p.Title.Text, p.Y.Label.Text = "answered within the wanted time", "%"
+	p.Title.Text, p.Y.Label.Text = "responses within the latency target", "%"
 	p.Y.Min, p.Y.Max = 0, 100
 	p.Legend.Top = true
 	for i, figure := range []string{"large_in_time", "small_in_time"} {
 		var v plotter.Values
-		for _, name := range s.Order {
+		for _, name := range s.Variants {
 			v = append(v, 100*s.mean(name, c, figure))
 		}
 		b, err := plotter.NewBarChart(v, vg.Points(18))
@@ -168,71 +169,72 @@
 		p.Add(b)
 		p.Legend.Add(strings.ReplaceAll(figure, "_", " "), b)
 	}
-	p.NominalX(s.Order...)
+	p.NominalX(s.Variants...)
 	if err := p.Save(5.5*vg.Inch, 3.6*vg.Inch, filepath.Join(dir, "in-time.svg")); err != nil {
 		return nil, err
 	}
 	return []string{"in-time.svg"}, nil
 }
 
-// Diff says what changed from one summary to another: pairs of the same variant, shop and
-// seed, the mean of their differences, and its 95% interval where there are pairs enough.
-func Diff(a, b *Summary) string {
+// Diff returns a table of the changes between two summaries. It pairs runs of the same variant, site and seed,
+// and prints the mean of their differences with its 95% confidence interval if there are at least 3 pairs.
+func Diff(before, after *Summary) string {
 	var out strings.Builder
-	fmt.Fprintf(&out, "%-28s %-46s %-14s %8s %8s  %s\n", "variant", "shop", "figure", "before", "after", "change")
+	fmt.Fprintf(&out, "%-28s %-46s %-14s %8s %8s  %s\n", "variant", "site", "figure", "before", "after", "change")
 	pairs := 0
-	for _, c := range a.cells() {
-		for _, v := range a.Order {
+	for _, c := range before.cells() {
+		for _, v := range before.Variants {
 			for _, figure := range []string{"large_in_time", "small_in_time", "broken"} {
-				var d []float64
-				for i := range a.Runs {
-					x := &a.Runs[i]
-					for k := range b.Runs {
-						y := &b.Runs[k]
+				var differences []float64
+				for i := range before.Runs {
+					x := &before.Runs[i]
+					for k := range after.Runs {
+						y := &after.Runs[k]
 						if x.Variant == v && x.Cell == c && y.Variant == v && y.Cell == c && x.Seed == y.Seed {
-							d = append(d, figures[figure](y)-figures[figure](x))
+							differences = append(differences, figures[figure](y)-figures[figure](x))
 						}
 					}
 				}
-				if len(d) == 0 {
+				if len(differences) == 0 {
 					continue
 				}
 				pairs++
-				mean, half := interval(d)
+				mean, halfWidth := confidenceInterval(differences)
 				verdict := "within the noise"
 				switch {
-				case len(d) < 3:
-					verdict = fmt.Sprintf("%+.4f (%d pairs: too few for an interval)", mean, len(d))
-				case math.Abs(mean) > half:
-					verdict = fmt.Sprintf("%+.4f ± %.4f", mean, half)
+				case len(differences) < 3:
+					verdict = fmt.Sprintf("%+.4f (%d pairs: too few for an interval)", mean, len(differences))
+				case math.Abs(mean) > halfWidth:
+					verdict = fmt.Sprintf("%+.4f ± %.4f", mean, halfWidth)
 				}
-				fmt.Fprintf(&out, "%-28s %-46s %-14s %8.4f %8.4f  %s\n", v, c, figure, a.mean(v, c, figure), b.mean(v, c, figure), verdict)
+				fmt.Fprintf(&out, "%-28s %-46s %-14s %8.4f %8.4f  %s\n", v, c, figure, before.mean(v, c, figure), after.mean(v, c, figure), verdict)
 			}
 		}
 	}
 	if pairs == 0 {
-		return "the two have no run in common: other variants, shops or seeds\n"
+		return "the summaries have no run in common: variants, sites or seeds differ\n"
 	}
 	return out.String()
 }
 
-// interval is the mean of d and half of its 95% interval by Student's t.
-func interval(d []float64) (mean, half float64) {
-	n := float64(len(d))
-	for _, x := range d {
+// confidenceInterval returns the mean of values and half the width of its 95% interval by Student's t
+// distribution.
+func confidenceInterval(values []float64) (mean, halfWidth float64) {
+	n := float64(len(values))
+	for _, x := range values {
 		mean += x / n
 	}
 	if n < 2 {
 		return mean, math.Inf(1)
 	}
-	ss := 0.0
-	for _, x := range d {
-		ss += (x - mean) * (x - mean)
+	squares := 0.0
+	for _, x := range values {
+		squares += (x - mean) * (x - mean)
 	}
-	t := []float64{12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26}
-	q := 2.0
-	if int(n)-2 < len(t) {
-		q = t[int(n)-2]
+	quantiles := []float64{12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26}
+	quantile := 2.0
+	if int(n)-2 < len(quantiles) {
+		quantile = quantiles[int(n)-2]
 	}
-	return mean, q * math.Sqrt(ss/(n-1)/n)
+	return mean, quantile * math.Sqrt(squares/(n-1)/n)
 }
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -24,52 +24,53 @@
 	"cottonwell/internal/shopfront"
 )
 
-// Options are how an experiment is run.
+// Options configure a run of an experiment or a testbed.
 type Options struct {
 	Quick     bool
-	Seed      uint64 // of the first day
-	Scheduler string // the program
-	Out       string // folder for the schedulers' logs
+	Seed      uint64 // seed of the first run; the next runs use the numbers after it
+	Scheduler string // path of the scheduler program
+	Out       string // folder for the schedulers' logs; empty: the logs are discarded
 	Log       *slog.Logger
-	Step      func(done, all int) // after each day; may be nil
+	Progress  func(done, all int) // called after each run; nil if disabled
 }
 
-// Do runs an experiment.
-func (e *Experiment) Do(ctx context.Context, o Options) (*Summary, error) {
-	s := &Summary{Title: e.Title, About: e.About, Engine: e.Engine, Quick: o.Quick}
-	n := e.Seeds
-	if o.Quick {
-		n = e.QuickSeeds
+// Run runs all variants of the experiment in all cells with all seeds, and evaluates the checks.
+func (e *Experiment) Run(ctx context.Context, options Options) (*Summary, error) {
+	s := &Summary{Title: e.Title, About: e.About, Engine: e.Engine, Quick: options.Quick}
+	seedCount := e.Seeds
+	if options.Quick {
+		seedCount = e.QuickSeeds
 	}
-	for i := range n {
-		s.Seeds = append(s.Seeds, o.Seed+uint64(i))
+	for i := range seedCount {
+		s.Seeds = append(s.Seeds, options.Seed+uint64(i))
 	}
 	for _, v := range e.Variants {
-		s.Order = append(s.Order, v.Name)
+		s.Variants = append(s.Variants, v.Name)
 	}
-	// Variants of one cell and seed follow one another, so that a machine that gets slower
-	// does so for all.
-	for _, c := range e.cells(o.Quick) {
+	// The variants of one cell and seed run directly after each other, so that a slowdown of the machine affects
+	// all of them.
+	for _, c := range e.cells(options.Quick) {
 		for _, seed := range s.Seeds {
 			for _, v := range e.Variants {
-				s.Runs = append(s.Runs, Run{Variant: v.Name, Cell: c, Seed: seed, Wrong: v.Tags != ""})
+				s.Runs = append(s.Runs, Run{Variant: v.Name, Cell: c, Seed: seed, FaultyBuild: v.Tags != ""})
 			}
 		}
 	}
-	programs, err := e.build(ctx)
+	programs, err := e.buildVariants(ctx)
 	if err != nil {
 		return nil, err
 	}
 	defer os.RemoveAll(programs)
-	if err := e.days(ctx, o, programs, s); err != nil {
+	if err := e.runAll(ctx, options, programs, s); err != nil {
 		return nil, err
 	}
-	s.check(e)
+	s.evaluateChecks(e)
 	return s, nil
 }
 
-// build makes the programs of variants with tags, in a folder that it returns.
-func (e *Experiment) build(ctx context.Context) (dir string, err error) {
+// buildVariants builds the scheduler programs of variants with build tags, each under the name of its tags, and
+// returns their folder.
+func (e *Experiment) buildVariants(ctx context.Context) (dir string, err error) {
 	if dir, err = os.MkdirTemp("", "cottonlab-programs-"); err != nil {
 		return "", err
 	}
@@ -86,31 +87,33 @@
 	return dir, nil
 }
 
-func (e *Experiment) days(ctx context.Context, o Options, programs string, s *Summary) error {
-	lanes := 1
+// runAll runs s.Runs and stores their results there. Runs in virtual time use all processors; runs with
+// processes follow one another.
+func (e *Experiment) runAll(ctx context.Context, options Options, programs string, s *Summary) error {
+	parallel := 1
 	if e.Engine == "model" {
-		lanes = runtime.NumCPU()
+		parallel = runtime.NumCPU()
 	}
-	inner, cancel := context.WithCancelCause(ctx)
+	runCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	var all sync.WaitGroup
+	var running sync.WaitGroup
 	var mu sync.Mutex
 	next, done := 0, 0
-	for range lanes {
-		all.Go(func() {
+	for range parallel {
+		running.Go(func() {
 			for {
 				mu.Lock()
 				i := next
 				next++
 				mu.Unlock()
-				if i >= len(s.Runs) || inner.Err() != nil {
+				if i >= len(s.Runs) || runCtx.Err() != nil {
 					return
 				}
-				o := o
+				options := options
 				if v := e.variant(s.Runs[i].Variant); v.Tags != "" {
-					o.Scheduler = filepath.Join(programs, v.Tags)
+					options.Scheduler = filepath.Join(programs, v.Tags)
 				}
-				res, err := e.day(inner, o, &s.Runs[i])
+				res, err := e.runOne(runCtx, options, &s.Runs[i])
 				if err != nil {
 					cancel(fmt.Errorf("%s, %v, seed %d: %w", s.Runs[i].Variant, s.Runs[i].Cell, s.Runs[i].Seed, err))
 					return
@@ -118,20 +121,21 @@
 				s.Runs[i].Result = *res
 				mu.Lock()
 				done++
-				if o.Step != nil {
-					o.Step(done, len(s.Runs))
+				if options.Progress != nil {
+					options.Progress(done, len(s.Runs))
 				}
 				mu.Unlock()
 			}
 		})
 	}
-	all.Wait()
-	if inner.Err() != nil {
-		return context.Cause(inner)
+	running.Wait()
+	if runCtx.Err() != nil {
+		return context.Cause(runCtx)
 	}
 	return nil
 }
 
+// variant returns the variant with a name, or nil if it is unknown.
 func (e *Experiment) variant(name string) *Variant {
 	for i := range e.Variants {
 		if e.Variants[i].Name == name {
@@ -141,21 +145,22 @@
 	return nil
 }
 
-func (e *Experiment) day(ctx context.Context, o Options, r *Run) (*emulator.Result, error) {
-	v, spec := e.variant(r.Variant), e.spec(r.Cell, o.Quick)
+// runOne runs one variant with one seed and returns the result of the emulation. It sets r.Fleet.
+func (e *Experiment) runOne(ctx context.Context, options Options, r *Run) (*emulator.Result, error) {
+	v, spec := e.variant(r.Variant), e.spec(r.Cell, options.Quick)
 	if e.Engine == "model" {
-		w, err := emulator.NewWorld(spec, r.Seed, v.plan())
+		w, err := emulator.NewWorld(spec, r.Seed, v.roomConfig())
 		if err != nil {
 			return nil, err
 		}
 		return w.Run(), nil
 	}
 	spec.Faults = e.script(spec, r.Seed)
-	t, err := StartReady(ctx, spec, r.Seed, v, o)
+	testbed, err := StartReady(ctx, spec, r.Seed, v, options)
 	if err != nil {
 		return nil, err
 	}
-	defer t.Kill()
+	defer testbed.Kill()
 	if v.Fleet != nil || len(spec.Faults) > 0 {
 		var duties []string
 		if v.Fleet != nil {
@@ -163,50 +168,52 @@
 				duties = append(duties, d.Name)
 			}
 		}
-		res, fleet, err := t.fleetDay(ctx, spec.Faults, r.Seed, duties, e, v)
+		result, fleet, err := testbed.runUnderFaults(ctx, spec.Faults, r.Seed, duties, e, v)
 		r.Fleet = fleet
-		return res, err
+		return result, err
 	}
-	res := t.Shop.Play(ctx, r.Seed, nil)
+	result := testbed.Shop.Play(ctx, r.Seed, nil)
 	if ctx.Err() != nil {
 		return nil, context.Cause(ctx)
 	}
-	if err := t.Dead(); err != nil {
+	if err := testbed.UnexpectedExit(); err != nil {
 		return nil, err
 	}
-	return res, nil
+	return result, nil
 }
 
-// Tier is an emulated shop with real scheduler processes before it.
-type Tier struct {
-	Shop  *shopfront.Shop
-	o     Options
-	seed  uint64
-	args  []string
-	logs  string // where the schedulers' logs go; empty: nowhere
-	dir   string
-	nodes []*node
+// Testbed is an emulated site with real scheduler processes in front of it.
+type Testbed struct {
+	Shop      *shopfront.Shop
+	options   Options
+	seed      uint64
+	args      []string
+	logDir    string // folder of the schedulers' logs; empty: the logs are discarded
+	tempDir   string // folder of configuration files and, with a fleet, of logs
+	processes []*process
 
 	mu     sync.Mutex
-	events []rig.Event // what was done to the processes
+	events []rig.Event // restarts and ends of processes that faults caused
 }
 
-type node struct {
-	name string
-	life int
-	cmd  *exec.Cmd
-	done chan struct{}
-	err  error
-	log  *os.File
-	busy sync.Mutex  // one fault at a time
-	down atomic.Bool // it was ended, and is to start anew
+// process is a scheduler process and its restarts.
+type process struct {
+	name    string
+	starts  int
+	cmd     *exec.Cmd
+	done    chan struct{}
+	err     error
+	log     *os.File
+	faultMu sync.Mutex  // serializes the faults of the process
+	stopped atomic.Bool // a fault ended the process and will restart it
 }
 
-// StartReady starts a tier and waits until it is ready. A scheduler's port is free when it is
-// chosen, but nobody can hold it for another process: where it was taken, all is tried anew.
-func StartReady(ctx context.Context, spec *emulator.Spec, seed uint64, v *Variant, o Options) (*Tier, error) {
+// StartReady starts a testbed and waits until it is ready. A scheduler's port is free when it is chosen, but it
+// cannot be reserved for another process. If another program takes it meanwhile, StartReady starts over. It
+// makes at most three attempts.
+func StartReady(ctx context.Context, spec *emulator.Spec, seed uint64, v *Variant, options Options) (*Testbed, error) {
 	for try := 1; ; try++ {
-		t, err := StartTier(spec, seed, v, o)
+		t, err := StartTestbed(spec, seed, v, options)
 		if err != nil {
 			return nil, err
 		}
@@ -220,46 +227,46 @@
 	}
 }
 
-// StartTier opens a shop and starts its schedulers.
-func StartTier(spec *emulator.Spec, seed uint64, v *Variant, o Options) (t *Tier, err error) {
-	t = &Tier{o: o, seed: seed, logs: o.Out}
+// StartTestbed starts an emulated site and its schedulers. The variant v may be nil.
+func StartTestbed(spec *emulator.Spec, seed uint64, v *Variant, options Options) (t *Testbed, err error) {
+	t = &Testbed{options: options, seed: seed, logDir: options.Out}
 	defer func() {
 		if err != nil {
 			t.Kill()
 		}
 	}()
-	if t.dir, err = os.MkdirTemp("", "cottonlab-"); err != nil {
+	if t.tempDir, err = os.MkdirTemp("", "cottonlab-"); err != nil {
 		return nil, err
 	}
-	if t.Shop, err = shopfront.Open(spec, seed, o.Log); err != nil {
+	if t.Shop, err = shopfront.Open(spec, seed, options.Log); err != nil {
 		return nil, err
 	}
 	t.Shop.Run()
 	t.args = []string{"serve", "--log", "warn"}
-	if v != nil && v.Fleet != nil { // the time line is made of the logs
-		t.args, t.logs = []string{"serve", "--log", "debug"}, t.dir
+	if v != nil && v.Fleet != nil { // rig reads the debug log
+		t.args, t.logDir = []string{"serve", "--log", "debug"}, t.tempDir
 	}
 	if v != nil && (v.Room != nil || v.Fleet != nil) {
 		if v.Fleet != nil && v.Fleet.Rules != nil {
-			if err := writeRules(filepath.Join(t.dir, v.Fleet.Rules.File), spec.Classes[0].Name, 3, 0); err != nil {
+			if err := writeRules(filepath.Join(t.tempDir, v.Fleet.Rules.File), spec.Classes[0].Name, 3, 0); err != nil {
 				return nil, err
 			}
 		}
-		path := filepath.Join(t.dir, "operator.toml")
-		f, err := os.Create(path)
+		path := filepath.Join(t.tempDir, "operator.toml")
+		operatorFile, err := os.Create(path)
 		if err != nil {
 			return nil, err
 		}
-		parts := map[string]any{}
+		sections := map[string]any{}
 		if v.Room != nil {
-			parts["room"] = v.Room
+			sections["room"] = v.Room
 		}
 		if v.Fleet != nil {
-			parts["fleet"] = v.Fleet
+			sections["fleet"] = v.Fleet
 		}
-		err = toml.NewEncoder(f).Encode(parts)
-		if cerr := f.Close(); err == nil {
-			err = cerr
+		err = toml.NewEncoder(operatorFile).Encode(sections)
+		if closeErr := operatorFile.Close(); err == nil {
+			err = closeErr
 		}
 		if err != nil {
 			return nil, fmt.Errorf("operator's file: %w", err)
@@ -267,65 +274,66 @@
 		t.args = append(t.args, "--operator", path)
 	}
 	for i := range t.Shop.Nodes() {
-		t.nodes = append(t.nodes, &node{name: t.Shop.Nodes()[i].Name})
-		if err := t.begin(i, false); err != nil {
-			t.nodes = t.nodes[:i]
+		t.processes = append(t.processes, &process{name: t.Shop.Nodes()[i].Name})
+		if err := t.startProcess(i, false); err != nil {
+			t.processes = t.processes[:i]
 			return nil, err
 		}
 	}
 	return t, nil
 }
 
-// again starts a scheduler that was ended anew, under its name and addresses.
-func (t *Tier) again(i int, old bool) error {
-	n := t.nodes[i]
-	if n.log != nil {
-		n.log.Close()
-	}
-	if err := t.begin(i, old); err != nil {
+// restart starts an ended scheduler again, with the same name and addresses. If old is set, it starts with the
+// target list of its first start.
+func (t *Testbed) restart(i int, old bool) error {
+	proc := t.processes[i]
+	if proc.log != nil {
+		proc.log.Close()
+	}
+	if err := t.startProcess(i, old); err != nil {
 		return err
 	}
-	n.down.Store(false)
-	t.seen(rig.Event{At: now(), Scheduler: i, Kind: rig.ProcessStarted})
+	proc.stopped.Store(false)
+	t.recordEvent(rig.Event{At: nowMS(), Scheduler: i, Kind: rig.ProcessStarted})
 	return nil
 }
 
-// begin starts a scheduler's process, with a seed that is new at each start, and the list as it is now or as it
-// was at the first start.
-func (t *Tier) begin(i int, old bool) error {
-	n := t.nodes[i]
-	data, err := t.Shop.Config(i, t.seed+1000*uint64(n.life), old)
+// startProcess starts the process of a scheduler with a new seed. The process starts with the current target
+// list, or with that of its first start if old is set.
+func (t *Testbed) startProcess(i int, old bool) error {
+	proc := t.processes[i]
+	data, err := t.Shop.Config(i, t.seed+1000*uint64(proc.starts), old)
 	if err != nil {
 		return err
 	}
-	n.life++
-	path := filepath.Join(t.dir, n.name+".json")
+	proc.starts++
+	path := filepath.Join(t.tempDir, proc.name+".json")
 	if err := os.WriteFile(path, data, 0o600); err != nil {
 		return err
 	}
-	n.cmd, n.done = exec.Command(t.o.Scheduler, append(slices.Clone(t.args), "--config", path)...), make(chan struct{})
-	n.cmd.Env = append(os.Environ(), "GOMAXPROCS=1")
-	if t.logs != "" {
-		if n.log, err = os.OpenFile(filepath.Join(t.logs, n.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644); err != nil {
+	proc.cmd, proc.done = exec.Command(t.options.Scheduler, append(slices.Clone(t.args), "--config", path)...), make(chan struct{})
+	proc.cmd.Env = append(os.Environ(), "GOMAXPROCS=1")
+	if t.logDir != "" {
+		if proc.log, err = os.OpenFile(filepath.Join(t.logDir, proc.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644); err != nil {
 			return err
 		}
-		n.cmd.Stdout, n.cmd.Stderr = n.log, n.log
+		proc.cmd.Stdout, proc.cmd.Stderr = proc.log, proc.log
 	} else {
-		n.cmd.Stdout, n.cmd.Stderr = io.Discard, io.Discard
+		proc.cmd.Stdout, proc.cmd.Stderr = io.Discard, io.Discard
 	}
-	if err := n.cmd.Start(); err != nil {
+	if err := proc.cmd.Start(); err != nil {
 		return fmt.Errorf("scheduler: %w", err)
 	}
-	cmd, done := n.cmd, n.done
+	cmd, done := proc.cmd, proc.done
 	go func() {
-		n.err = cmd.Wait()
+		proc.err = cmd.Wait()
 		close(done)
 	}()
 	return nil
 }
 
-// Ready waits until every scheduler takes requests.
-func (t *Tier) Ready(ctx context.Context) error {
+// Ready waits up to 15 s until every scheduler accepts requests.
+func (t *Testbed) Ready(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, 15*time.Second)
 	defer cancel()
 	for i, n := range t.Shop.Nodes() {
@@ -333,8 +341,8 @@
 			select {
 			case <-ctx.Done():
 				return fmt.Errorf("scheduler %s is not ready: %w", n.Name, ctx.Err())
-			case <-t.nodes[i].done:
-				return fmt.Errorf("scheduler %s ended at its start: %v", n.Name, t.nodes[i].err)
+			case <-t.processes[i].done:
+				return fmt.Errorf("scheduler %s exited during startup: %v", n.Name, t.processes[i].err)
 			case <-time.After(20 * time.Millisecond):
 			}
 		}
@@ -342,28 +350,28 @@
 	return nil
 }
 
-// Dead says which scheduler ended by itself.
-func (t *Tier) Dead() error {
-	for i, n := range t.nodes {
-		if n.down.Load() {
+// UnexpectedExit returns an error if a scheduler exited by itself, not because of a fault.
+func (t *Testbed) UnexpectedExit() error {
+	for i, n := range t.processes {
+		if n.stopped.Load() {
 			continue
 		}
 		select {
 		case <-n.done:
-			return fmt.Errorf("scheduler n%d ended by itself: %v", i, n.err)
+			return fmt.Errorf("scheduler n%d exited unexpectedly: %v", i, n.err)
 		default:
 		}
 	}
 	return nil
 }
 
-// Stop ends the schedulers as a planned restart would, and then the shop.
-func (t *Tier) Stop() {
-	for _, n := range t.nodes {
-		// One that has ended cannot be told, and need not be.
+// Stop shuts the schedulers down gracefully, as a planned restart does, and then stops the site.
+func (t *Testbed) Stop() {
+	for _, n := range t.processes {
+		// Signal fails for a process that has already exited, which needs no signal.
 		_ = n.cmd.Process.Signal(syscall.SIGTERM)
 	}
-	for _, n := range t.nodes {
+	for _, n := range t.processes {
 		select {
 		case <-n.done:
 		case <-time.After(6 * time.Second):
@@ -372,10 +380,10 @@
 	t.Kill()
 }
 
-// Kill ends the schedulers at once, and then the shop.
-func (t *Tier) Kill() {
-	for _, n := range t.nodes {
-		_ = n.cmd.Process.Kill() // likewise
+// Kill kills the schedulers, stops the site and removes the temporary folder.
+func (t *Testbed) Kill() {
+	for _, n := range t.processes {
+		_ = n.cmd.Process.Kill() // fails for a process that has already exited
 		<-n.done
 		if n.log != nil {
 			n.log.Close()
@@ -384,12 +392,12 @@
 	if t.Shop != nil {
 		t.Shop.Close()
 	}
-	if t.dir != "" {
-		os.RemoveAll(t.dir)
+	if t.tempDir != "" {
+		os.RemoveAll(t.tempDir)
 	}
 }
 
-// Write leaves the summary in a folder.
+// Write writes the summary to summary.json in a folder.
 func (s *Summary) Write(dir string) error {
 	data, err := json.MarshalIndent(s, "", " ")
 	if err != nil {
@@ -398,7 +406,7 @@
 	return os.WriteFile(filepath.Join(dir, "summary.json"), append(data, '\n'), 0o644)
 }
 
-// Read reads the summary that a folder holds.
+// Read reads summary.json from a folder.
 func Read(dir string) (*Summary, error) {
 	path := filepath.Join(dir, "summary.json")
 	data, err := os.ReadFile(path)
