--- a/internal/ci/knownred_test.go
+++ b/internal/ci/knownred_test.go
@@ -1,4 +1,5 @@
-// Package ci tests what the project's own test command does with KNOWN-RED.txt.
+// Package ci tests how the project's test command, test.sh, treats the tests listed in KNOWN-RED.txt. It has no
+// code of its own.
 package ci
 
 import (
@@ -11,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const tests = `package x
+const sampleTests = `package x
 
 import "testing"
 
@@ -23,43 +24,43 @@
 }
 `
 
-// The test command passes over just what KNOWN-RED.txt names, and prints that. Any other failure fails it, and so does a
-// list that is too long, unreadable or out of date.
+// The test command skips only the tests that KNOWN-RED.txt lists, and prints them. It fails if any other test fails,
+// and if the list is too long, malformed or out of date.
 func TestKnownRed(t *testing.T) {
 	if testing.Short() {
-		t.Skip("runs the whole test command on a small module")
+		t.Skip("runs the whole test command on a sample module")
 	}
 	t.Parallel()
 	script, err := os.ReadFile("../../test.sh")
 	require.NoError(t, err)
-	// The small module has the tools that the test command calls, so it is made from this one's.
+	// The sample module needs the tools that the test command calls, so its go.mod is a copy of the project's.
 	modules, err := os.ReadFile("../../go.mod")
 	require.NoError(t, err)
 	sums, err := os.ReadFile("../../go.sum")
 	require.NoError(t, err)
-	small := strings.Replace(string(modules), "module cottonwell\n", "module x\n", 1)
-	const bad, part = "./x TestBad | it is bad | issue 1\n", "./x TestPart/bad | a part is bad | issue 2\n"
+	moduleFile := strings.Replace(string(modules), "module cottonwell\n", "module x\n", 1)
+	const badLine, partLine = "./x TestBad | it is bad | issue 1\n", "./x TestPart/bad | a part is bad | issue 2\n"
 	for name, c := range map[string]struct {
-		known, says string
-		passes      bool
+		list, want string
+		passes     bool
 	}{
-		"both known":    {"# two\n" + bad + "\n" + part, "known red, passed over: ./x TestPart/bad | a part is bad | issue 2", true},
-		"one not known": {bad, "--- FAIL: TestPart/bad", false},
-		"none known":    {"", "--- FAIL: TestBad", false},
-		"four":          {bad + part + bad + part, "4 tests; three at most", false},
-		"no such test":  {bad + part + "./x TestGone | was mended | issue 3\n", "KNOWN-RED.txt:3: x/x has no TestGone", false},
-		"no cause":      {bad + "./x TestPart\n", "KNOWN-RED.txt:2: wanted", false},
+		"both listed":    {"# two\n" + badLine + "\n" + partLine, "known red, passed over: ./x TestPart/bad | a part is bad | issue 2", true},
+		"one not listed": {badLine, "--- FAIL: TestPart/bad", false},
+		"none listed":    {"", "--- FAIL: TestBad", false},
+		"list too long":  {badLine + partLine + badLine + partLine, "4 tests; three at most", false},
+		"unknown test":   {badLine + partLine + "./x TestGone | was mended | issue 3\n", "KNOWN-RED.txt:3: x/x has no TestGone", false},
+		"no cause":       {badLine + "./x TestPart\n", "KNOWN-RED.txt:2: wanted", false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			dir := t.TempDir()
 			require.NoError(t, os.Mkdir(filepath.Join(dir, "x"), 0o700))
-			for file, text := range map[string]string{"go.mod": small, "go.sum": string(sums), "x/x_test.go": tests, "KNOWN-RED.txt": c.known, "test.sh": string(script)} {
+			for file, text := range map[string]string{"go.mod": moduleFile, "go.sum": string(sums), "x/x_test.go": sampleTests, "KNOWN-RED.txt": c.list, "test.sh": string(script)} {
 				require.NoError(t, os.WriteFile(filepath.Join(dir, file), []byte(text), 0o600))
 			}
 			out, err := exec.Command("bash", filepath.Join(dir, "test.sh")).CombinedOutput()
 			require.Equal(t, c.passes, err == nil, "%s", out)
-			require.Contains(t, string(out), c.says)
+			require.Contains(t, string(out), c.want)
 		})
 	}
 }
