--- a/test.sh
+++ b/test.sh
@@ -1,11 +1,11 @@
 #!/usr/bin/env bash
-# The test command of the README: format, vet, and the tests in a release build, in a
-# debug build with assertions, and, without the long virtual days, under the race detector.
-# Passes over just the tests that KNOWN-RED.txt names, and prints them.
+# The test command of the README: checks formatting, runs go vet and staticcheck, and runs the
+# tests in a release build, in a debug build with assertions, and, without the long simulations,
+# under the race detector. Skips only the tests that KNOWN-RED.txt lists, and prints them.
 set -euo pipefail
 cd "$(dirname "$0")"
 
-# KNOWN-RED.txt: a line each, 'PACKAGE TEST | cause | issue N'; three at most.
+# KNOWN-RED.txt holds at most three tests, one per line: 'PACKAGE TEST | cause | issue N'.
 declare -A red=()
 if [ -f KNOWN-RED.txt ]; then
   n=0 lines=0
@@ -32,7 +32,7 @@
   fi
 fi
 
-# tests runs 'go test' with these flags on all packages.
+# tests runs 'go test' with the given flags on all packages and skips the listed tests.
 tests() {
   local all package others=()
   all=$(go list ./...)
