--- a/cmd/cottonwell/leases.go
+++ b/cmd/cottonwell/leases.go
@@ -5,42 +5,46 @@
 	"cottonwell/internal/config"
 )
 
-// Figures of the lease on discovery's list, in milliseconds.
+// Durations of the lease on discovery's list, in milliseconds.
 const (
-	toldAfter = 6000.0 // the platform counts a change as told so long after discovery had it
-	// leaseMargin is kept for a process that stands still, for 150 ms each, between the arrival of discovery's word and
-	// the reading of the clock, and between the last check and the first byte of an attempt.
+	// assumedNotifiedAfter is the time from a change in discovery until the platform considers each scheduler notified of it.
+	assumedNotifiedAfter = 6000.0
+	// leaseMargin covers two pauses of the process of 150 ms each: one between the arrival of a message from discovery and
+	// the reading of the clock, the other between the last check of the lease and the first byte of an attempt.
 	leaseMargin = 300.0
-	// movedAfter is when what a pushing agent has counts after SIGHUP, whether or not it was read.
-	movedAfter = 4000.0
-	// shortestLease is what is left where the settings give less time than the margin.
-	shortestLease = 1.0
+	// assumedNotifiedAfterReload is the time from SIGHUP until the platform considers the scheduler notified of the list of
+	// a pushing agent, whether or not it has read that list.
+	assumedNotifiedAfterReload = 4000.0
+	// minLease applies if the settings give less time than the margin.
+	minLease = 1.0
 )
 
-// listLease returns for how long a list is acted on after discovery's last word; 0: for ever, as there is no discovery. It
-// holds for agents that push their lists, too: what a watch there has missed since it fell silent counts as well.
+// listLease returns the time in milliseconds for which a list is valid after the last message from discovery. It is 0, for no
+// limit, without discovery. It applies to agents that push their lists as well: changes that a silent watch there has missed
+// count as notified, too.
 func listLease(cfg *config.Config) float64 {
 	if cfg.Discovery == "" {
 		return 0
 	}
-	return toldAfter - leaseMargin
+	return assumedNotifiedAfter - leaseMargin
 }
 
-// unwatchedLease returns the same while no watch is open: a scheduler that neither watches nor asks counts as told after a time
-// that the settings give. Discovery that is asked has one; an agent that pushes has none.
+// unwatchedLease returns the time in milliseconds for which a list is valid while no watch is open. The platform considers a
+// scheduler that neither watches nor polls notified after the time that the settings give. That time applies to discovery
+// that is polled, and not to an agent that pushes.
 func unwatchedLease(cfg *config.Config) float64 {
-	within := clock.Millis(cfg.Settings.AskWithin)
-	if cfg.Discovery == "" || cfg.Pushed || within <= 0 || within >= toldAfter {
+	notifiedWithin := clock.Millis(cfg.Settings.AskWithin)
+	if cfg.Discovery == "" || cfg.Pushed || notifiedWithin <= 0 || notifiedWithin >= assumedNotifiedAfter {
 		return listLease(cfg)
 	}
-	return max(shortestLease, within-leaseMargin)
+	return max(minLease, notifiedWithin-leaseMargin)
 }
 
-// movedLease returns for how long the list of the address before is acted on after SIGHUP has moved discovery; 0: as long
-// as any list.
-func movedLease(cfg *config.Config) float64 {
+// previousAddressLease returns the time in milliseconds for which the list of the previous discovery address is valid after
+// SIGHUP has changed the address. It is 0 if the list is valid for as long as any other.
+func previousAddressLease(cfg *config.Config) float64 {
 	if !cfg.Pushed {
 		return 0
 	}
-	return movedAfter - leaseMargin
+	return assumedNotifiedAfterReload - leaseMargin
 }
--- a/cmd/cottonwell/operated.go
+++ b/cmd/cottonwell/operated.go
@@ -10,59 +10,63 @@
 	"cottonwell/internal/net/shared"
 )
 
-// operated is the scheduler as operators act on it.
-type operated struct{ *scheduler }
+// operatorControl gives the control address access to the scheduler.
+type operatorControl struct{ *scheduler }
 
-var _ control.Scheduler = operated{}
+var _ control.Scheduler = operatorControl{}
 
-func (o operated) Ready() bool { return o.listener.Ready() }
-func (o operated) Offline(target string) bool {
-	return o.maintain(target, true, o.core.Offline(target))
+func (o operatorControl) Ready() bool { return o.listener.Ready() }
+func (o operatorControl) Offline(target string) bool {
+	return o.propagateMaintenance(target, true, o.core.Offline(target))
 }
-func (o operated) Online(target string) bool { return o.maintain(target, false, o.core.Online(target)) }
-func (o operated) OutOfService()             { o.listener.Leave() }
-func (o operated) InService()                { o.listener.Return() }
+func (o operatorControl) Online(target string) bool {
+	return o.propagateMaintenance(target, false, o.core.Online(target))
+}
+func (o operatorControl) OutOfService() { o.listener.Leave() }
+func (o operatorControl) InService()    { o.listener.Return() }
 
-// maintain tells the scheduler's other process of a target that is known here.
-func (o operated) maintain(target string, offline, known bool) bool {
+// propagateMaintenance notifies the scheduler's other process that a target is offline or online, if the target is known. It
+// returns known.
+func (o operatorControl) propagateMaintenance(target string, offline, known bool) bool {
 	if known && o.handover != nil {
 		o.handover.Maintain(target, offline)
 	}
 	return known
 }
 
-// sibling is the scheduler as another process of it, the old or the new version, acts on it.
-type sibling struct{ *scheduler }
+// handoverProcess gives another process of the same scheduler, of an older or a newer version, access to it during a handover.
+type handoverProcess struct{ *scheduler }
 
-var _ handover.Process = sibling{}
+var _ handover.Process = handoverProcess{}
 
-func (s sibling) Ready() bool            { return s.listener.Ready() && !s.listener.Winding() }
-func (s sibling) News(n core.TargetNews) { s.core.News(n) }
-func (s sibling) Maintained() []string   { return s.core.Maintained() }
-func (s sibling) Maintain(t string, off bool) {
-	if off {
-		s.core.Inherit(t)
+func (s handoverProcess) Ready() bool               { return s.listener.Ready() && !s.listener.Winding() }
+func (s handoverProcess) News(news core.TargetNews) { s.core.News(news) }
+func (s handoverProcess) Maintained() []string      { return s.core.Maintained() }
+func (s handoverProcess) Maintain(target string, offline bool) {
+	if offline {
+		s.core.Inherit(target)
 		return
 	}
-	s.core.Online(t)
+	s.core.Online(target)
 }
 
-// stray passes news of a job that is unknown here on to the scheduler's other process.
-func (s *scheduler) stray(n core.TargetNews) {
+// forwardUnmatched forwards a report on a job that is unknown in this process to the scheduler's other process.
+func (s *scheduler) forwardUnmatched(news core.TargetNews) {
 	if s.handover != nil {
-		s.handover.PassOn(n)
+		s.handover.PassOn(news)
 	}
 }
 
-// inherit takes over which targets are under maintenance, before anything is sent.
-func (s *scheduler) inherit() {
+// takeOverMaintenance takes over the targets under maintenance from the scheduler's other process. It runs before the first
+// attempt is sent.
+func (s *scheduler) takeOverMaintenance() {
 	for _, target := range s.handover.Inherited() {
-		s.log.Info("maintenance is taken over", "target", target)
+		s.log.Info("target under maintenance taken over from another process", "target", target)
 		s.core.Inherit(target)
 	}
 }
 
-// listenForClients listens at the clients' address, which two processes share while one takes over from the other.
+// listenForClients listens at the clients' address. With a control address, two processes can share it during a handover.
 func listenForClients(cfg *config.Config) (net.Listener, error) {
 	if cfg.Control == "" {
 		return net.Listen("tcp", cfg.Listen)
--- a/cmd/cottonwell/reload.go
+++ b/cmd/cottonwell/reload.go
@@ -9,41 +9,42 @@
 	"cottonwell/internal/net/discovery"
 )
 
-// reload takes up a configuration that was replaced under the running program. Its
-// discovery is all that may change: limits, settings and addresses are those of the start.
-type reload struct {
-	path  string
-	hup   <-chan os.Signal
-	watch *discovery.Watcher
-	log   *slog.Logger
-	show  func() // writes to the log what is believed of the fleet; may be nil
-	// publish reads the fleet's rules again, and has them put in force; nil where none are agreed on.
-	publish func() error
+// reloadHandler applies a configuration file that was replaced while the program runs. Only the discovery address is applied:
+// limits, settings and the other addresses remain those of the start.
+type reloadHandler struct {
+	configPath string
+	hup        <-chan os.Signal
+	watcher    *discovery.Watcher
+	log        *slog.Logger
+	// logFleet logs the known state of the fleet; nil if disabled.
+	logFleet func()
+	// publishRules reads the fleet's rules again and publishes them; nil without agreed rules.
+	publishRules func() error
 }
 
-// run shows the fleet and reads the file again at each SIGHUP, until ctx ends. A file that cannot be read
-// changes nothing.
-func (r *reload) run(ctx context.Context) {
+// run logs the fleet, publishes the rules and reads the configuration at each SIGHUP, until ctx ends. A file that cannot be
+// read changes nothing.
+func (r *reloadHandler) run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-r.hup:
 		}
-		if r.show != nil {
-			r.show()
+		if r.logFleet != nil {
+			r.logFleet()
 		}
-		if r.publish != nil {
-			if err := r.publish(); err != nil {
+		if r.publishRules != nil {
+			if err := r.publishRules(); err != nil {
 				r.log.Error("reload: the old rules stay", "cause", err)
 			}
 		}
-		address, err := config.Discovery(r.path)
+		address, err := config.Discovery(r.configPath)
 		if err != nil {
 			r.log.Error("reload: the old configuration stays", "cause", err)
 			continue
 		}
 		r.log.Info("reload", "discovery", address)
-		r.watch.Move(address)
+		r.watcher.Move(address)
 	}
 }
--- a/cmd/cottonwell/winddown.go
+++ b/cmd/cottonwell/winddown.go
@@ -7,59 +7,59 @@
 	"cottonwell/internal/net/shared"
 )
 
-// windDown ends the scheduler's work once it was told to end: it returns when all that it took is answered, or just before
-// the platform would kill it.
-func (s *scheduler) windDown(ctx context.Context, clients net.Listener) {
-	begin := s.clock.Now() // the platform's time runs from here, however long the successor is asked for
-	succeeded := clients != nil && s.handover != nil && s.handover.OtherReady()
-	s.log.Info("winding down", "successor", succeeded)
-	if succeeded {
+// shutDown does the graceful shutdown after SIGTERM. It returns once each accepted request has its response, or shortly before
+// the platform may kill the process.
+func (s *scheduler) shutDown(ctx context.Context, clients net.Listener) {
+	startedAt := s.clock.Now() // the platform's time starts here, however long the query for a successor takes
+	hasSuccessor := clients != nil && s.handover != nil && s.handover.OtherReady()
+	s.log.Info("winding down", "successor", hasSuccessor)
+	if hasSuccessor {
 		if err := shared.Stop(clients); err != nil {
-			s.log.Warn("cannot stop listening", "cause", err)
+			s.log.Warn("cannot stop accepting clients", "cause", err)
 		}
 	}
 	s.listener.SetReady(false)
 	if s.duties != nil {
-		s.duties.Resign(ctx) // others have them while this one still serves
+		s.duties.Resign(ctx) // other schedulers take the duties over while this one still serves
 	}
-	// Clients use the connections that they have for as long as these stay open, and have no
-	// other scheduler, so they are served for as long as the platform allows.
-	if !succeeded {
-		s.sleep(begin + max(graceFor, s.killAt-windFor) - s.clock.Now())
+	// Without a successor, clients have no other scheduler and use their connections for as long as these are open. They are
+	// served for as long as the platform allows.
+	if !hasSuccessor {
+		s.sleep(startedAt + max(minGracePeriod, s.killDelay-closeLead) - s.clock.Now())
 	}
 	s.listener.Wind()
 	if s.gearman != nil {
-		s.gearman.Wind() // or clients that stay on their connections would keep the program from its end
+		s.gearman.Wind() // otherwise clients that keep their connections would delay the exit
 	}
-	last, end, again := s.clock.NewAlarm(), s.clock.NewAlarm(), s.clock.NewAlarm()
-	defer again.Stop()
-	defer last.Stop()
-	defer end.Stop()
-	last.Set(begin + max(graceFor, s.killAt-lastFor))
-	end.Set(begin + max(graceFor, s.killAt-endFor))
-	shut := false
+	finishAlarm, exitAlarm, pollAlarm := s.clock.NewAlarm(), s.clock.NewAlarm(), s.clock.NewAlarm()
+	defer pollAlarm.Stop()
+	defer finishAlarm.Stop()
+	defer exitAlarm.Stop()
+	finishAlarm.Set(startedAt + max(minGracePeriod, s.killDelay-finishLead))
+	exitAlarm.Set(startedAt + max(minGracePeriod, s.killDelay-exitLead))
+	idleClosed := false
 	for idle := s.core.Idle(); ; {
 		select {
-		case <-end.C():
-			s.log.Warn("ending with connections open", "busy", s.listener.Busy())
+		case <-exitAlarm.C():
+			s.log.Warn("exiting with open connections", "busy", s.listener.Busy())
 			return
-		case <-last.C():
-			s.core.Finish() // what SIGKILL finds unanswered is lost
+		case <-finishAlarm.C():
+			s.core.Finish() // a request without a response at SIGKILL is lost
 			s.listener.Shut()
-			shut = true
-		case <-again.C():
+			idleClosed = true
+		case <-pollAlarm.C():
 			idle = s.core.Idle()
 		case <-idle:
 			if s.listener.Busy() == 0 {
-				if shut {
+				if idleClosed {
 					return
 				}
-				// What waits for a first request may have it on the way; the next round sees whether.
+				// A connection without a request so far may have its first one on the way; the next poll finds it.
 				s.listener.Shut()
-				shut = true
+				idleClosed = true
 			}
-			idle = nil // until the next round; the end is not kept waiting for it
-			again.Set(s.clock.Now() + 20)
+			idle = nil                        // until the next poll; meanwhile the other alarms are still handled
+			pollAlarm.Set(s.clock.Now() + 20) // milliseconds
 		}
 	}
 }
