--- a/balance/api.go
+++ b/balance/api.go
@@ -41,18 +41,18 @@
 
 // Class describes one class of requests.
 type Class struct {
-	Name     string
-	Effect   Effect
-	Scope    Scope         // for Keyed
-	Window   time.Duration // for Keyed: how long workers remember a request and drop its repeats
-	Aim      time.Duration // the latency target is Aim + Stretch x the time that the request's own work takes
-	Stretch  float64
-	Deadline time.Duration // client timeout over all tries
-	Worth    float64       // value of a response within the latency target
-	Late     float64       // share of Worth that a response after the latency target still earns
-	Kind     string        // machine kind required, or empty
-	Stream   bool          // the response is streamed
-	InOrder  bool          // requests of one key run one at a time, in the order in which they were accepted
+	Name          string
+	Effect        Effect
+	Scope         Scope         // for Keyed
+	Window        time.Duration // for Keyed: how long workers remember a request and drop its repeats
+	LatencyTarget time.Duration // the latency target is Aim + Stretch x the time that the request's own work takes
+	Stretch       float64
+	Deadline      time.Duration // client timeout over all tries
+	Value         float64       // value of a response within the latency target
+	LateShare     float64       // share of Worth that a response after the latency target still earns
+	Kind          string        // machine kind required, or empty
+	Stream        bool          // the response is streamed
+	InOrder       bool          // requests of one key run one at a time, in the order in which they were accepted
 }
 
 // Prices are the points of service lost for each unit of a cost.
@@ -67,41 +67,41 @@
 
 // Settings are what a dispatcher is configured with at its start.
 type Settings struct {
-	Self, Fleet    int    // number of this dispatcher, and how many there are
-	Zone           string // zone of this dispatcher
-	Classes        []Class
-	Tick           time.Duration // time resolution of the host
-	ByWork         bool          // Worth counts for each unit of work
-	ReportsFree    bool          // reports carry the number of free slots
-	TellsStart     bool          // workers report the start of a job
-	ProgressEvery  time.Duration // interval of progress reports; 0 for none
-	Subscribe      bool          // the dispatcher must query discovery for the worker list
-	MaxAttempts    int           // attempts of one request, the first included
-	Duplicates     bool          // two attempts of a request may be in flight at once
-	Cancel         bool          // attempts may be cancelled
-	Probes         bool          // workers may be probed
-	Peers          bool          // dispatchers may send one another short messages, which may be lost
-	MaxRetryAfter  time.Duration // longest retry-after that clients honour; 0 if they honour none
-	StreamsPerConn int
-	ConnIdle       time.Duration // idle time after which a connection is closed
-	DialTimeout    time.Duration
-	Prices         Prices
-	Goal           Goal
-	AnswerSlack    time.Duration // time after the deadline within which a final response is still accepted
-	AskWithin      time.Duration // the list counts as known once no query was sent for this long
-	ColdFrom       float64       // share of its capacity that a worker has at its start
-	ColdFor        time.Duration // time after its start at which a worker is warm at the latest
-	DrainGrace     time.Duration
-	FallMultiple   float64       // a cold worker that is sent this multiple of its capacity collapses
-	FallWindow     time.Duration // window over which FallMultiple is measured
-	MarksRepeat    bool          // clients mark their later tries
-	OrderRest      time.Duration // InOrder: pause of a key after an attempt that may still run
-	ExtraFree      float64       // attempts beyond each request's first that are allowed in a window
-	ExtraRatio     float64       // further attempts allowed for each request accepted in the window
-	ExtraWindow    time.Duration // length of that window; 0 for no limit
-	FullMayHaveRun bool          // workers respond 'full' to work that they had begun, too
-	Tenants        []Tenant      // tenants with shares of the fleet
-	BeyondWorth    float64       // share of its value that a request beyond its tenant's share keeps
+	Self, Fleet        int    // number of this dispatcher, and how many there are
+	Zone               string // zone of this dispatcher
+	Classes            []Class
+	Tick               time.Duration // time resolution of the host
+	ByWork             bool          // Worth counts for each unit of work
+	ReportsFree        bool          // reports carry the number of free slots
+	ReportsStart       bool          // workers report the start of a job
+	ProgressEvery      time.Duration // interval of progress reports; 0 for none
+	Subscribe          bool          // the dispatcher must query discovery for the worker list
+	MaxAttempts        int           // attempts of one request, the first included
+	Duplicates         bool          // two attempts of a request may be in flight at once
+	Cancel             bool          // attempts may be cancelled
+	Probes             bool          // workers may be probed
+	Peers              bool          // dispatchers may send one another short messages, which may be lost
+	MaxRetryAfter      time.Duration // longest retry-after that clients honour; 0 if they honour none
+	StreamsPerConn     int
+	ConnIdle           time.Duration // idle time after which a connection is closed
+	DialTimeout        time.Duration
+	Prices             Prices
+	Goal               Goal
+	ResponseSlack      time.Duration // time after the deadline within which a final response is still accepted
+	MaxQueryInterval   time.Duration // the list counts as known once no query was sent for this long
+	ColdFrom           float64       // share of its capacity that a worker has at its start
+	ColdFor            time.Duration // time after its start at which a worker is warm at the latest
+	DrainGrace         time.Duration
+	CollapseMultiple   float64       // a cold worker that is sent this multiple of its capacity collapses
+	CollapseWindow     time.Duration // window over which FallMultiple is measured
+	ClientsMarkRetries bool          // clients mark their later tries
+	KeyPause           time.Duration // InOrder: pause of a key after an attempt that may still run
+	RetryBudgetFree    float64       // attempts beyond each request's first that are allowed in a window
+	RetryBudgetRatio   float64       // further attempts allowed for each request accepted in the window
+	RetryBudgetWindow  time.Duration // length of that window; 0 for no limit
+	FullMayHaveRun     bool          // workers respond 'full' to work that they had begun, too
+	Tenants            []Tenant      // tenants with shares of the fleet
+	BeyondShareValue   float64       // share of its value that a request beyond its tenant's share keeps
 }
 
 // isolated reports whether there are other dispatchers whose load this one receives no messages about.
@@ -119,22 +119,22 @@
 	case s.Fleet < 1 || s.Self < 0 || s.MaxAttempts < 1 || len(s.Classes) == 0:
 		return fmt.Errorf("balance: impossible settings: dispatcher %d of %d, %d attempts allowed, %d classes",
 			s.Self, s.Fleet, s.MaxAttempts, len(s.Classes))
-	case !(s.ColdFrom > 0 && s.ColdFrom <= 1 && s.FallMultiple > 0) || min(s.ColdFor, s.FallWindow) < 0:
+	case !(s.ColdFrom > 0 && s.ColdFrom <= 1 && s.CollapseMultiple > 0) || min(s.ColdFor, s.CollapseWindow) < 0:
 		return fmt.Errorf("balance: impossible settings for cold workers: ColdFrom %g, ColdFor %v, FallMultiple %g, FallWindow %v",
-			s.ColdFrom, s.ColdFor, s.FallMultiple, s.FallWindow)
-	case min(s.Tick, s.AnswerSlack, s.AskWithin, s.DrainGrace) < 0:
+			s.ColdFrom, s.ColdFor, s.CollapseMultiple, s.CollapseWindow)
+	case min(s.Tick, s.ResponseSlack, s.MaxQueryInterval, s.DrainGrace) < 0:
 		return fmt.Errorf("balance: negative duration: Tick %v, AnswerSlack %v, AskWithin %v, DrainGrace %v",
-			s.Tick, s.AnswerSlack, s.AskWithin, s.DrainGrace)
-	case !(s.ExtraFree >= 0 && s.ExtraRatio >= 0) || s.ExtraWindow < 0:
+			s.Tick, s.ResponseSlack, s.MaxQueryInterval, s.DrainGrace)
+	case !(s.RetryBudgetFree >= 0 && s.RetryBudgetRatio >= 0) || s.RetryBudgetWindow < 0:
 		return fmt.Errorf("balance: impossible budget of further attempts: ExtraFree %g, ExtraRatio %g, ExtraWindow %v",
-			s.ExtraFree, s.ExtraRatio, s.ExtraWindow)
-	case !(s.BeyondWorth >= 0):
-		return fmt.Errorf("balance: impossible BeyondWorth %g", s.BeyondWorth)
-	case s.OrderRest < 0:
-		return fmt.Errorf("balance: negative OrderRest %v", s.OrderRest)
+			s.RetryBudgetFree, s.RetryBudgetRatio, s.RetryBudgetWindow)
+	case !(s.BeyondShareValue >= 0):
+		return fmt.Errorf("balance: impossible BeyondWorth %g", s.BeyondShareValue)
+	case s.KeyPause < 0:
+		return fmt.Errorf("balance: negative OrderRest %v", s.KeyPause)
 	}
 	for i, c := range s.Classes {
-		if min(c.Aim, c.Window, c.Deadline-1) < 0 || !(c.Worth >= 0 && c.Stretch >= 0) ||
+		if min(c.LatencyTarget, c.Window, c.Deadline-1) < 0 || !(c.Value >= 0 && c.Stretch >= 0) ||
 			slices.ContainsFunc(s.Classes[:i], func(x Class) bool { return x.Name == c.Name }) {
 			return fmt.Errorf("balance: class %q is defined twice or has an impossible value", c.Name)
 		}
@@ -147,20 +147,20 @@
 
 // The kinds of events, with the fields that each uses.
 const (
-	Arrived   EventKind = iota // a request arrived: Request, Class, Key, Budget, Hint, Slots, Repeat
-	Departed                   // the client left or its time is over: Request
-	Ended                      // an attempt ended: Request, Attempt, Worker, Result, Final, Elapsed, Report
-	Noted                      // an attempt reported progress: Request, Attempt, Worker, Started or Fraction
-	Streaming                  // a streamed response has begun: Request, Attempt, Worker
-	Listed                     // the worker list: List, Members
-	Probed                     // the response to a probe: Worker, Result, Elapsed, Report
-	TimerDue                   // a timer fired: Timer
-	PeerSpoke                  // another dispatcher announced its load: Who, Loads
-	Kept                       // capacity of a worker was reserved, or released if Keep is nil: Worker, Request, Keep
-	Judged                     // a decision for all schedulers: Worker gets no jobs for Elapsed; 0: it may be tried
-	Ruled                      // the limits that the schedulers agreed on: Caps, Cold
-	Answered                   // discovery recently sent a response to another dispatcher
-	Shared                     // a decision for all schedulers, valid for Elapsed: Parts of demand within the tenants' shares
+	Arrived       EventKind = iota // a request arrived: Request, Class, Key, Budget, Hint, Slots, Repeat
+	Departed                       // the client left or its time is over: Request
+	Ended                          // an attempt ended: Request, Attempt, Worker, Result, Final, Elapsed, Report
+	Progressed                     // an attempt reported progress: Request, Attempt, Worker, Started or Fraction
+	Streaming                      // a streamed response has begun: Request, Attempt, Worker
+	Listed                         // the worker list: List, Members
+	Probed                         // the response to a probe: Worker, Result, Elapsed, Report
+	TimerDue                       // a timer fired: Timer
+	PeerLoads                      // another dispatcher announced its load: Who, Loads
+	Reserved                       // capacity of a worker was reserved, or released if Keep is nil: Worker, Request, Keep
+	WorkerEjected                  // a decision for all schedulers: Worker gets no jobs for Elapsed; 0: it may be tried
+	RulesChanged                   // the limits that the schedulers agreed on: Caps, Cold
+	PeerGotList                    // discovery recently sent a response to another dispatcher
+	TenantShares                   // a decision for all schedulers, valid for Elapsed: Parts of demand within the tenants' shares
 )
 
 // Result is the outcome of an attempt or a probe.
@@ -193,10 +193,10 @@
 
 // The scopes of a worker list.
 const (
-	Changes   ListScope = iota // changed entries only
-	Whole                      // the complete list
-	FromDisk                   // the complete list as last stored, perhaps stale
-	AskFailed                  // a query failed or the watch ended; no entries
+	Changes       ListScope = iota // changed entries only
+	Complete                       // the complete list
+	FromDisk                       // the complete list as last stored, perhaps stale
+	RequestFailed                  // a query failed or the watch ended; no entries
 )
 
 // State is the state of a worker in the list.
@@ -226,47 +226,47 @@
 	Memory                  float64 // free memory, in units of the usual share of one slot; 0 if not reported
 }
 
-// Keep is a reservation of a worker's capacity for one request, with the limits for other requests at that worker.
-type Keep struct {
-	Request uint64                   // the request that it is for; 0: a request of another dispatcher
-	Spare   float64                  // slots that other requests may take without touching the reservation
-	Most    float64                  // slots of the largest request that ends before the reservation starts
-	Last    map[string]time.Duration // by class: latest time to send a request of up to Most slots
+// Reservation is a reservation of a worker's capacity for one request, with the limits for other requests at that worker.
+type Reservation struct {
+	Request       uint64                   // the request that it is for; 0: a request of another dispatcher
+	SpareSlots    float64                  // slots that other requests may take without touching the reservation
+	BackfillSlots float64                  // slots of the largest request that ends before the reservation starts
+	BackfillUntil map[string]time.Duration // by class: latest time to send a request of up to Most slots
 }
 
 // Event is one thing that happened. Kind determines which fields are used.
 type Event struct {
-	Kind     EventKind
-	Request  uint64
-	Attempt  int
-	Worker   string
-	Result   Result
-	Final    bool // the request has its final response
-	Elapsed  time.Duration
-	Report   Report
-	Started  bool
-	Fraction float64
-	Class    string
-	Key      string        // subject of the request, or empty
-	Budget   time.Duration // time until the client leaves
-	Hint     time.Duration // expected work; 0 if unknown
-	Slots    float64
-	Repeat   bool
-	First    bool // certainly the client's first try, whatever its Budget
-	Priority int  // queued requests of a higher priority go first; 0 is usual
-	List     ListScope
-	Members  []Member
-	Local    bool // Listed: a change made by this scheduler, not a response of discovery
-	Timer    uint64
-	Who      int                // number of the dispatcher that sent the message
-	Raw      string             // its message, any bytes; for the host
-	Loads    map[string]float64 // the decoded message: slots that its attempts take, by worker
-	Keep     *Keep              // nil: the reservation is released
-	Tenant   string
-	Parts    map[string]float64 // by tenant; a tenant without an entry: all of it
-	Caps     map[string]int     // by class: attempts of a request; no entry: MaxAttempts applies
-	Cold     float64            // part of the load that the settings allow for a cold worker
-	Memory   float64            // units of memory that the request needs; 0 if unknown
+	Kind        EventKind
+	Request     uint64
+	Attempt     int
+	Worker      string
+	Result      Result
+	Final       bool // the request has its final response
+	Elapsed     time.Duration
+	Report      Report
+	Started     bool
+	Fraction    float64
+	Class       string
+	Key         string        // subject of the request, or empty
+	Budget      time.Duration // time until the client leaves
+	Hint        time.Duration // expected work; 0 if unknown
+	Slots       float64
+	Repeat      bool
+	First       bool // certainly the client's first try, whatever its Budget
+	Priority    int  // queued requests of a higher priority go first; 0 is usual
+	List        ListScope
+	Members     []Member
+	Local       bool // Listed: a change made by this scheduler, not a response of discovery
+	Timer       uint64
+	Peer        int                // number of the dispatcher that sent the message
+	Raw         string             // its message, any bytes; for the host
+	Loads       map[string]float64 // the decoded message: slots that its attempts take, by worker
+	Reservation *Reservation       // nil: the reservation is released
+	Tenant      string
+	TenantParts map[string]float64 // by tenant; a tenant without an entry: all of it
+	MaxAttempts map[string]int     // by class: attempts of a request; no entry: MaxAttempts applies
+	ColdFactor  float64            // part of the load that the settings allow for a cold worker
+	Memory      float64            // units of memory that the request needs; 0 if unknown
 }
 
 // ActionKind is the kind of an action.
@@ -274,16 +274,16 @@
 
 // The kinds of actions, with the fields that each uses.
 const (
-	Send      ActionKind = iota // start an attempt: Request, Worker, After is its timeout (0: none)
-	Refuse                      // final response, a retry does no harm: Request, After is the retry-after (0: none)
-	Fail                        // final response without that guarantee: Request
-	Cancel                      // stop waiting for an attempt: Request, Attempt
-	Wake                        // deliver TimerDue after After: Timer
-	Probe                       // probe Worker
-	Subscribe                   // query discovery for the list and watch its changes
-	Say                         // write Text to the log
-	Tell                        // send a message to other dispatchers: Raw, at most 256 bytes, and To
-	Doubt                       // report a suspicion: Worker gets no jobs for a while, as it is silent, or Failing
+	Send          ActionKind = iota // start an attempt: Request, Worker, After is its timeout (0: none)
+	Refuse                          // final response, a retry does no harm: Request, After is the retry-after (0: none)
+	Fail                            // final response without that guarantee: Request
+	Cancel                          // stop waiting for an attempt: Request, Attempt
+	Wake                            // deliver TimerDue after After: Timer
+	Probe                           // probe Worker
+	Subscribe                       // query discovery for the list and watch its changes
+	Log                             // write Text to the log
+	SendToPeers                     // send a message to other dispatchers: Raw, at most 256 bytes, and To
+	SuspectWorker                   // report a suspicion: Worker gets no jobs for a while, as it is silent, or Failing
 )
 
 // Action is one thing that the host must do. Actions are done in order. Kind determines which fields are used.
--- a/balance/attempt.go
+++ b/balance/attempt.go
@@ -12,7 +12,7 @@
 // flight or is already cancelled is left as it is.
 func (b *Balancer) cancel(r *request, i int, reason Reason) {
 	a := &r.attempts[i]
-	if a.inFlight && b.settings.Cancel && !a.cancelled && b.settings.TellsStart {
+	if a.inFlight && b.settings.Cancel && !a.cancelled && b.settings.ReportsStart {
 		a.cancelled = true
 		b.emit(Action{Kind: Cancel, Request: r.id, Attempt: i, Reason: reason})
 	}
@@ -38,14 +38,14 @@
 	b.addOwnLoad(now, w, r, 1)
 	w.tokens -= r.work * r.slots
 	if w.reservation != nil && !w.reservedFor(r) {
-		w.reservation.Spare -= r.slots // until the reservation is updated
+		w.reservation.SpareSlots -= r.slots // until the reservation is updated
 	}
 	// The attempt may have to connect first. The delay of a prompt start is at least one tick, as a faster
 	// report does not reveal a free slot any earlier.
 	promptStart := max(cmp.Or(b.startDelays[w.Zone], b.settings.DialTimeout/4), b.settings.Tick)
 	a := attempt{worker: w, sentAt: now, expectedWait: wait, inFlight: true,
 		checkAt: now + wait + 4*promptStart + 2*b.settings.Tick}
-	if !b.settings.TellsStart {
+	if !b.settings.ReportsStart {
 		b.recordShortage(now > r.onTimeStartBy)
 		a.checkAt = now + 2*wait + seconds(5*r.work*b.slowness(w)) + b.settings.ProgressEvery*5/2
 	}
@@ -64,7 +64,7 @@
 	// A job that waits at a worker is rejected early only if this dispatcher receives messages about others'
 	// jobs. An isolated one cannot rule out that the job still starts in time.
 	if r.queued ||
-		!b.settings.isolated() && b.settings.TellsStart && !slices.ContainsFunc(r.attempts, running) {
+		!b.settings.isolated() && b.settings.ReportsStart && !slices.ContainsFunc(r.attempts, running) {
 		next = r.usefulStartBy
 	}
 	if now >= next {
@@ -97,7 +97,7 @@
 	}
 	a.checkAt = now + 4*b.settings.Tick + time.Millisecond
 	w, silenceLimit := a.worker, seconds(5*r.work*b.slowness(a.worker))
-	if b.settings.TellsStart && a.startedAt == 0 {
+	if b.settings.ReportsStart && a.startedAt == 0 {
 		// The attempt waits though it was sent to a free slot: w has more load than its late reports show.
 		w.fullUntil = max(w.fullUntil, now+b.slotTurnover(now, w))
 		if !a.startMissed {
@@ -117,7 +117,7 @@
 	if now >= silentSince+silenceLimit && w.lastSeenAt <= silentSince {
 		b.eject(now, w, false) // it accepts work and sends no responses
 	}
-	if b.settings.TellsStart && a.startedAt == 0 {
+	if b.settings.ReportsStart && a.startedAt == 0 {
 		b.retryElsewhere(now, r, i) // last, as sending a duplicate may reallocate r.attempts
 	}
 	return r.attempts[i].checkAt
@@ -146,7 +146,7 @@
 	if b.settings.Duplicates {
 		b.send(now, r, w)
 	} else {
-		b.cancel(r, i, UnfitTarget)
+		b.cancel(r, i, TargetEjected)
 	}
 }
 
@@ -191,7 +191,7 @@
 	}
 	for i := range r.attempts {
 		if r.attempts[i].startedAt == 0 {
-			b.cancel(r, i, OtherBegan)
+			b.cancel(r, i, OtherStarted)
 		}
 	}
 }
@@ -207,7 +207,7 @@
 	a.inFlight, a.result, w.lastEndAt = false, ev.Result, now
 	b.addOwnLoad(now, w, r, -1)
 	if ev.Result == TimedOut || ev.Result == Reset || ev.Result == Cancelled {
-		r.mayRunUntil = now + b.settings.OrderRest
+		r.mayRunUntil = now + b.settings.KeyPause
 	}
 	b.applyReport(now, w, &ev.Report)
 	b.learnSpeed(now, r, a, ev)
--- a/balance/attempt_test.go
+++ b/balance/attempt_test.go
@@ -70,7 +70,7 @@
 func TestUnstartedAttemptIsRetriedElsewhere(t *testing.T) {
 	for _, duplicates := range []bool{true, false} {
 		s := baseSettings()
-		s.TellsStart, s.Duplicates, s.Cancel, s.Fleet = true, duplicates, true, 1
+		s.ReportsStart, s.Duplicates, s.Cancel, s.Fleet = true, duplicates, true, 1
 		h := newHarness(t, s, newMembers(3)...)
 		id, w := h.sendRequest()
 		h.now += 50 * ms
@@ -79,7 +79,7 @@
 			t.Errorf("no duplicate at another worker: %+v", acts)
 		} else if duplicates {
 			h.now += ms
-			acts = h.step(Event{Kind: Noted, Request: id, Attempt: 1, Worker: send.Worker, Started: true})
+			acts = h.step(Event{Kind: Progressed, Request: id, Attempt: 1, Worker: send.Worker, Started: true})
 			if c := findAction(acts, Cancel); c == nil || c.Attempt != 0 {
 				t.Errorf("the waiting duplicate was not cancelled: %+v", acts)
 			}
@@ -109,7 +109,7 @@
 func TestFullEndsRequestWithoutStartReports(t *testing.T) {
 	for _, startReports := range []bool{false, true} {
 		s := baseSettings()
-		s.TellsStart = startReports
+		s.ReportsStart = startReports
 		h := newHarness(t, s, newMembers(4)...)
 		id, w := h.sendRequest()
 		acts := h.end(id, w, Full, Report{})
@@ -123,7 +123,7 @@
 // cancelled again and again.
 func TestStartsInDistantZoneAreNotMissed(t *testing.T) {
 	s := baseSettings()
-	s.TellsStart, s.Cancel, s.DialTimeout = true, true, 250*ms
+	s.ReportsStart, s.Cancel, s.DialTimeout = true, true, 250*ms
 	members := newMembers(4)
 	members[2].Zone, members[3].Zone = "far", "far"
 	h := newHarness(t, s, members...)
@@ -143,7 +143,7 @@
 			delay -= 40 * ms
 		}
 		h.now += delay
-		h.step(Event{Kind: Noted, Request: id, Worker: w, Started: true})
+		h.step(Event{Kind: Progressed, Request: id, Worker: w, Started: true})
 		h.now += 100 * ms
 		h.end(id, w, OK, Report{})
 	}
@@ -157,12 +157,12 @@
 func TestFurtherAttemptsStayWithinBudget(t *testing.T) {
 	for _, res := range []Result{Full, NoConnection, Failed} {
 		s := baseSettings()
-		s.ExtraFree, s.ExtraRatio, s.ExtraWindow, s.TellsStart = 2, 0.1, 2*time.Second, true
+		s.RetryBudgetFree, s.RetryBudgetRatio, s.RetryBudgetWindow, s.ReportsStart = 2, 0.1, 2*time.Second, true
 		h := newHarness(t, s, newMembers(40)...)
 		var accepted, further []time.Duration
 		inWindow := func(ts []time.Duration) (n float64) {
 			for _, at := range ts {
-				if at >= h.now-s.ExtraWindow {
+				if at >= h.now-s.RetryBudgetWindow {
 					n++
 				}
 			}
@@ -182,7 +182,7 @@
 				if tries[a.Request]++; tries[a.Request] > 1 {
 					further = append(further, h.now)
 				}
-				if inWindow(further) > s.ExtraFree+s.ExtraRatio*inWindow(accepted) {
+				if inWindow(further) > s.RetryBudgetFree+s.RetryBudgetRatio*inWindow(accepted) {
 					t.Fatalf("result %d: %v further attempts for %v requests", res, inWindow(further), inWindow(accepted))
 				}
 				end := Event{Kind: Ended, Request: a.Request, Attempt: tries[a.Request] - 1, Worker: a.Worker, Result: res}
@@ -204,7 +204,7 @@
 func TestUnsuccessfulDuplicatesUseUpRetries(t *testing.T) {
 	for _, prompt := range []bool{false, true} {
 		s := baseSettings()
-		s.TellsStart, s.Duplicates, s.Cancel, s.Fleet = true, true, true, 1
+		s.ReportsStart, s.Duplicates, s.Cancel, s.Fleet = true, true, true, 1
 		h := newHarness(t, s, newMembers(40)...)
 		moves := 0
 		for range 60 {
@@ -214,7 +214,7 @@
 			if findAction(acts, Send) != nil {
 				moves++
 				if prompt {
-					h.step(Event{Kind: Noted, Request: id, Attempt: 1, Started: true})
+					h.step(Event{Kind: Progressed, Request: id, Attempt: 1, Started: true})
 				}
 			}
 			for i := range 2 {
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -139,7 +139,7 @@
 	backOffUntil                               time.Duration // applies while it is cold
 	tokens                                     float64       // seconds of work that it may be sent while cold
 	idHash                                     uint32
-	reservation                                *Keep // nil if none
+	reservation                                *Reservation // nil if none
 }
 
 // Balancer decides for one dispatcher.
@@ -185,13 +185,13 @@
 	b := &Balancer{settings: settings, rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)),
 		classes: map[string]*class{}, workers: map[string]*worker{}, requests: map[uint64]*request{},
 		peerLoads: map[int]map[string]float64{}, retryTokens: retryBurst, meanJobSlots: 1, meanWorkerSlots: 2,
-		coldFactor: 1, meanJobSeconds: 2 * settings.Classes[0].Aim.Seconds(),
+		coldFactor: 1, meanJobSeconds: 2 * settings.Classes[0].LatencyTarget.Seconds(),
 		keyQueues: map[string]*keyQueue{}, startDelays: map[string]time.Duration{},
 		assumedLoad: assumedLoadStart, arrivalGap: 0.1}
 	for _, c := range settings.Classes {
 		// Until jobs of the class have run, their run time is estimated as twice the latency target.
 		b.classes[c.Name] = &class{Class: c, servedShare: 1,
-			sampleCount: 0.1, workSeconds: 0.2 * c.Aim.Seconds(),
+			sampleCount: 0.1, workSeconds: 0.2 * c.LatencyTarget.Seconds(),
 			maxAttempts: settings.MaxAttempts, blocked: map[string]classBlock{}}
 	}
 	return b, nil
@@ -211,7 +211,7 @@
 		}
 	case Ended:
 		b.handleEnd(now, ev)
-	case Noted:
+	case Progressed:
 		b.handleProgress(now, ev)
 	case Streaming: // the client receives the response, so no further attempt may be sent
 		if r := b.requests[ev.Request]; r != nil {
@@ -227,32 +227,32 @@
 				b.applyResult(now, w, nil, ev.Result)
 			}
 		}
-	case PeerSpoke:
-		if b.updatePeerLoads(now, ev.Who, ev.Loads) {
+	case PeerLoads:
+		if b.updatePeerLoads(now, ev.Peer, ev.Loads) {
 			b.placeQueued(now)
 		}
-	case Kept:
+	case Reserved:
 		if w := b.workers[ev.Worker]; w != nil {
-			w.reservation = ev.Keep
+			w.reservation = ev.Reservation
 			if r := b.requests[ev.Request]; r != nil {
 				r.reservedAt = w
 			}
 		}
 		b.placeQueued(now)
-	case Judged:
+	case WorkerEjected:
 		if w := b.workers[ev.Worker]; w != nil && (ev.Elapsed == 0 || now+ev.Elapsed > w.ejectedUntil) {
 			w.ejectedUntil, w.hardEjected, w.trial = now+ev.Elapsed, ev.Elapsed > 0, true
 		}
-	case Answered:
+	case PeerGotList:
 		if wait, sooner := b.discovery.peerHint(now, b.settings.Fleet, b.rng); sooner {
 			b.emit(Action{Kind: Wake, Timer: discoveryTimer, After: wait})
 		}
-	case Shared:
-		b.tenantParts, b.tenantPartsUntil = ev.Parts, now+ev.Elapsed
-	case Ruled:
-		b.coldFactor = ev.Cold
+	case TenantShares:
+		b.tenantParts, b.tenantPartsUntil = ev.TenantParts, now+ev.Elapsed
+	case RulesChanged:
+		b.coldFactor = ev.ColdFactor
 		for name, c := range b.classes {
-			c.maxAttempts = min(b.settings.MaxAttempts, cmp.Or(ev.Caps[name], b.settings.MaxAttempts))
+			c.maxAttempts = min(b.settings.MaxAttempts, cmp.Or(ev.MaxAttempts[name], b.settings.MaxAttempts))
 		}
 	case TimerDue:
 		b.handleTimer(now, ev.Timer)
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -13,9 +13,9 @@
 
 // baseSettings returns settings that allow no optional behaviour.
 func baseSettings() Settings {
-	return Settings{Fleet: 2, Zone: "a", Tick: ms, ReportsFree: true, MaxAttempts: 3, AnswerSlack: 20 * ms,
-		ColdFrom: 0.3, ColdFor: 10 * time.Second, DrainGrace: 250 * ms, FallMultiple: 3, FallWindow: time.Second,
-		Classes: []Class{{Name: "c", Aim: 200 * ms, Stretch: 2, Deadline: 5 * time.Second, Worth: 1}}}
+	return Settings{Fleet: 2, Zone: "a", Tick: ms, ReportsFree: true, MaxAttempts: 3, ResponseSlack: 20 * ms,
+		ColdFrom: 0.3, ColdFor: 10 * time.Second, DrainGrace: 250 * ms, CollapseMultiple: 3, CollapseWindow: time.Second,
+		Classes: []Class{{Name: "c", LatencyTarget: 200 * ms, Stretch: 2, Deadline: 5 * time.Second, Value: 1}}}
 }
 
 // harness drives a Balancer step by step.
@@ -92,7 +92,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	interfaces := []string{"api.go", "view.go"}
+	interfaces := []string{"api.go", "estimates.go"}
 	for _, name := range files {
 		if strings.HasSuffix(name, "_test.go") {
 			continue
@@ -128,12 +128,12 @@
 		"no attempts":                        func(s *Settings) { s.MaxAttempts = 0 },
 		"no fleet":                           func(s *Settings) { s.Fleet = 0 },
 		"cold share of 0":                    func(s *Settings) { s.ColdFrom = 0 },
-		"negative window":                    func(s *Settings) { s.FallWindow = -1 },
+		"negative window":                    func(s *Settings) { s.CollapseWindow = -1 },
 		"negative tick":                      func(s *Settings) { s.Tick = -1 },
-		"negative budget window":             func(s *Settings) { s.ExtraWindow = -1 },
-		"negative share of further attempts": func(s *Settings) { s.ExtraRatio = -0.1 },
-		"free further attempts not a number": func(s *Settings) { s.ExtraFree = math.NaN() },
-		"negative key pause":                 func(s *Settings) { s.OrderRest = -1 },
+		"negative budget window":             func(s *Settings) { s.RetryBudgetWindow = -1 },
+		"negative share of further attempts": func(s *Settings) { s.RetryBudgetRatio = -0.1 },
+		"free further attempts not a number": func(s *Settings) { s.RetryBudgetFree = math.NaN() },
+		"negative key pause":                 func(s *Settings) { s.KeyPause = -1 },
 		"duplicate class":                    func(s *Settings) { s.Classes = append(s.Classes, s.Classes[0]) },
 		"no deadline":                        func(s *Settings) { s.Classes[0].Deadline = 0 },
 	} {
--- a/balance/clock_test.go
+++ b/balance/clock_test.go
@@ -9,12 +9,12 @@
 // that queued for a few milliseconds counted as not started, and its worker as full.
 func TestStartTimeoutIsAtLeastSomeTicks(t *testing.T) {
 	s := baseSettings()
-	s.Tick, s.TellsStart, s.Cancel = 5*ms, true, true
+	s.Tick, s.ReportsStart, s.Cancel = 5*ms, true, true
 	h := newHarness(t, s, newMembers(3)...)
 	for range 200 {
 		id, w := h.sendRequest()
 		h.now += ms / 2
-		h.step(Event{Kind: Noted, Request: id, Worker: w, Started: true})
+		h.step(Event{Kind: Progressed, Request: id, Worker: w, Started: true})
 		h.now += 20 * ms
 		h.end(id, w, OK, Report{})
 	}
@@ -45,7 +45,7 @@
 // A worker that lists the classes that it runs gets requests of no other class.
 func TestWorkersGetOnlyTheirClasses(t *testing.T) {
 	s := baseSettings()
-	s.Classes = append(s.Classes, Class{Name: "d", Aim: 200 * ms, Stretch: 2, Deadline: 5 * time.Second, Worth: 1})
+	s.Classes = append(s.Classes, Class{Name: "d", LatencyTarget: 200 * ms, Stretch: 2, Deadline: 5 * time.Second, Value: 1})
 	members := newMembers(3)
 	members[0].Classes, members[1].Classes, members[2].Classes = ",d,", ",c,", ",d,"
 	h := newHarness(t, s, members...)
--- a/balance/cold.go
+++ b/balance/coldstart.go
@@ -37,12 +37,12 @@
 // refillTokens updates the token bucket of a cold worker to the present and returns its size. It must run
 // before tokens are subtracted.
 func (b *Balancer) refillTokens(now time.Duration, w *worker) (burst float64) {
-	rate := coldBudgetShare * b.coldFactor * b.settings.FallMultiple *
+	rate := coldBudgetShare * b.coldFactor * b.settings.CollapseMultiple *
 		b.capacity(now, w) / max(1, b.slowness(w))
 	if b.settings.isolated() {
 		rate *= isolatedFactor / float64(b.settings.Fleet)
 	}
-	burst = rate * b.settings.FallWindow.Seconds()
+	burst = rate * b.settings.CollapseWindow.Seconds()
 	if b.settings.Fleet > 1 {
 		if burst /= 4; w.refilledAt == 0 {
 			w.tokens, w.refilledAt = -b.rng.Float64()*b.meanJobSeconds, now
@@ -59,7 +59,7 @@
 	if now < w.backOffUntil || b.warmShare(now, w) >= 1 {
 		return
 	}
-	first, last := b.Near(w.ID)
-	longest := min(b.settings.FallWindow/2, time.Duration(last-first+1)*backOffPerDispatcher)
+	first, last := b.NearbyDispatchers(w.ID)
+	longest := min(b.settings.CollapseWindow/2, time.Duration(last-first+1)*backOffPerDispatcher)
 	w.backOffUntil = now + time.Duration(b.rng.Float64()*float64(longest))
 }
--- a/balance/cold_test.go
+++ b/balance/coldstart_test.go
@@ -64,14 +64,14 @@
 			for who := int(now/(5*ms)) % 8; c.peers && who < dispatchers; who += 8 { // each sends every 40 ms
 				for i, h := range harnesses {
 					if h.now = now; i != who && rng.IntN(5) > 0 && announced[who] != nil {
-						recordSends(h, h.step(Event{Kind: PeerSpoke, Who: who, Loads: announced[who]}))
+						recordSends(h, h.step(Event{Kind: PeerLoads, Peer: who, Loads: announced[who]}))
 					}
 				}
 				announced[who] = nil
 			}
 			for who := (int(now/(5*ms)) + 6) % 8; c.peers && who < dispatchers; who += 8 { // delivered 30 ms later
 				announced[who] = map[string]float64{}
-				harnesses[who].balancer.Out(func(w string, slots float64) { announced[who][w] = slots })
+				harnesses[who].balancer.InFlight(func(w string, slots float64) { announced[who][w] = slots })
 			}
 			var due []runningJob
 			running = slices.DeleteFunc(running, func(r runningJob) bool {
@@ -108,12 +108,12 @@
 			for k, end := range at {
 				n := 0
 				for _, x := range at[:k+1] {
-					if x > end-s.FallWindow {
+					if x > end-s.CollapseWindow {
 						n++
 					}
 				}
 				warm := s.ColdFrom + (1-s.ColdFrom)*(end-time.Hour).Seconds()/s.ColdFor.Seconds()
-				if sum, budget := float64(n)*work.Seconds(), s.FallMultiple*slots*warm*s.FallWindow.Seconds(); sum > budget {
+				if sum, budget := float64(n)*work.Seconds(), s.CollapseMultiple*slots*warm*s.CollapseWindow.Seconds(); sum > budget {
 					t.Errorf("%d dispatchers: %.1f s of work in a window with a budget of %.1f", dispatchers, sum, budget)
 				}
 			}
@@ -135,7 +135,7 @@
 	w, r := h.balancer.ring[0], &request{class: h.balancer.classes["c"], slots: 1, work: 0.05}
 	h.balancer.coldBudgetAllows(h.now, r, w)
 	h.now += 2 * time.Second // the bucket would be full by now if it had been refilled
-	h.step(Event{Kind: PeerSpoke, Who: 1, Loads: map[string]float64{"w00": 4}})
+	h.step(Event{Kind: PeerLoads, Peer: 1, Loads: map[string]float64{"w00": 4}})
 	if h.balancer.coldBudgetAllows(h.now, r, w) {
 		t.Errorf("%.2f s of work may be sent right after others sent four jobs", w.tokens)
 	}
@@ -150,7 +150,7 @@
 func TestAgreedLimits(t *testing.T) {
 	tries := func(caps map[string]int) (n int) {
 		h := newHarness(t, baseSettings(), newMembers(6)...)
-		h.step(Event{Kind: Ruled, Caps: caps, Cold: 1})
+		h.step(Event{Kind: RulesChanged, MaxAttempts: caps, ColdFactor: 1})
 		id, at := h.sendRequest()
 		for n = 1; ; n++ {
 			acts := h.step(Event{Kind: Ended, Request: id, Attempt: n - 1, Worker: at, Result: Failed})
@@ -173,7 +173,7 @@
 		members := newMembers(1)
 		members[0].Started = time.Hour - time.Second
 		h := newHarness(t, baseSettings(), members...)
-		h.step(Event{Kind: Ruled, Cold: cold})
+		h.step(Event{Kind: RulesChanged, ColdFactor: cold})
 		return h.balancer.refillTokens(h.now, h.balancer.workers["w00"])
 	}
 	if all, half := burst(1), burst(0.5); math.Abs(half/all-0.5) > 1e-9 || burst(0) != 0 {
@@ -198,7 +198,7 @@
 		harnesses[i] = &harness{t: t, balancer: b, now: time.Hour}
 		harnesses[i].step(Event{Kind: Listed, List: FromDisk, Members: cold})
 		harnesses[i].now += 2 * time.Second
-		harnesses[i].step(Event{Kind: PeerSpoke, Who: (i + 1) % dispatchers, Loads: map[string]float64{"w00": 2}})
+		harnesses[i].step(Event{Kind: PeerLoads, Peer: (i + 1) % dispatchers, Loads: map[string]float64{"w00": 2}})
 		harnesses[i].now += 2 * time.Second // the bucket is full again
 		if _, acts := harnesses[i].request(); findAction(acts, Send) != nil {
 			t.Fatal("sent to a worker that is announced as full")
@@ -211,7 +211,7 @@
 			h.now = now
 			ev := Event{Kind: TimerDue, Timer: queueTimer}
 			if now == freedAt {
-				ev = Event{Kind: PeerSpoke, Who: (i + 1) % dispatchers}
+				ev = Event{Kind: PeerLoads, Peer: (i + 1) % dispatchers}
 			}
 			if findAction(h.step(ev), Send) != nil {
 				sends = append(sends, now)
--- a/balance/asking.go
+++ b/balance/discovery.go
@@ -74,7 +74,7 @@
 		wait = watchReopenDelay(s.Fleet, rng)
 	}
 	p.outstanding, p.listReceived = false, false
-	wait = min(wait, max(time.Second/10, 2*s.AskWithin))
+	wait = min(wait, max(time.Second/10, 2*s.MaxQueryInterval))
 	p.nextAt = now + wait
 	return wait
 }
--- a/balance/asking_test.go
+++ b/balance/discovery_test.go
@@ -10,7 +10,7 @@
 // sent none at its start.
 func newSubscriber(t *testing.T, seed uint64, within time.Duration) (*Balancer, *Action) {
 	s := baseSettings()
-	s.Subscribe, s.AskWithin = true, within
+	s.Subscribe, s.MaxQueryInterval = true, within
 	b, err := New(s, seed)
 	if err != nil {
 		t.Fatal(err)
@@ -31,7 +31,7 @@
 	now := time.Hour
 	failQuery := func() time.Duration {
 		t.Helper()
-		acts := b.Step(now, &Event{Kind: Listed, List: AskFailed}, nil)
+		acts := b.Step(now, &Event{Kind: Listed, List: RequestFailed}, nil)
 		w := findAction(acts, Wake)
 		if w == nil || findAction(acts, Subscribe) != nil {
 			t.Fatalf("want a wait before the next query: %+v", acts)
@@ -70,7 +70,7 @@
 			queries[int(at.Seconds())]++
 			b.Step(time.Hour+at, &Event{Kind: Listed, List: Changes, Local: true}, nil)
 			at += 2 * time.Second
-			at += findAction(b.Step(time.Hour+at, &Event{Kind: Listed, List: AskFailed}, nil), Wake).After
+			at += findAction(b.Step(time.Hour+at, &Event{Kind: Listed, List: RequestFailed}, nil), Wake).After
 		}
 	}
 	for second, n := range queries[5:] {
@@ -92,14 +92,14 @@
 // failure the wait is long again.
 func TestCallsOfALargeFleet(t *testing.T) {
 	s := baseSettings()
-	s.Subscribe, s.AskWithin, s.Fleet, s.Peers = true, 100*time.Second, 300, true
+	s.Subscribe, s.MaxQueryInterval, s.Fleet, s.Peers = true, 100*time.Second, 300, true
 	b, err := New(s, 3)
 	if err != nil {
 		t.Fatal(err)
 	}
 	now := time.Hour
 	wake := func(kind EventKind) time.Duration {
-		w := findAction(b.Step(now, &Event{Kind: kind, List: AskFailed}, nil), Wake)
+		w := findAction(b.Step(now, &Event{Kind: kind, List: RequestFailed}, nil), Wake)
 		if w == nil {
 			return 0
 		}
@@ -121,16 +121,16 @@
 		query(wait)
 	}
 	wake(Listed)
-	hinted := wake(Answered)
+	hinted := wake(PeerGotList)
 	if hinted <= 0 || hinted > 6*time.Second {
 		t.Fatalf("waits %v after discovery responded to another dispatcher", hinted)
 	}
-	if again := wake(Answered); again != 0 {
+	if again := wake(PeerGotList); again != 0 {
 		t.Fatalf("waits %v after a second message", again)
 	}
 	query(hinted)
 	wait := wake(Listed)
-	if wait < 2*time.Second || wake(Answered) != 0 {
+	if wait < 2*time.Second || wake(PeerGotList) != 0 {
 		t.Fatalf("waits %v after that query failed, too", wait)
 	}
 }
@@ -139,7 +139,7 @@
 // spread. The wait after a failed query does not grow with the number of failures.
 func TestQueriesOfAnIsolatedFleet(t *testing.T) {
 	s := baseSettings()
-	s.Subscribe, s.AskWithin, s.Fleet = true, 100*time.Second, 300
+	s.Subscribe, s.MaxQueryInterval, s.Fleet = true, 100*time.Second, 300
 	var first []time.Duration
 	for seed := range uint64(100) {
 		b, err := New(s, seed)
@@ -157,7 +157,7 @@
 			if findAction(b.Step(now, &Event{Kind: TimerDue, Timer: wake.Timer}, nil), Subscribe) == nil {
 				t.Fatal("no query")
 			}
-			wake = findAction(b.Step(now, &Event{Kind: Listed, List: AskFailed}, nil), Wake)
+			wake = findAction(b.Step(now, &Event{Kind: Listed, List: RequestFailed}, nil), Wake)
 			if wake.After < 2*time.Second || wake.After > 6*time.Second {
 				t.Fatalf("failure %d: waits %v", n+1, wake.After)
 			}
@@ -173,7 +173,7 @@
 // A query that was brought forward is not sent again by the timer that was set for it first.
 func TestObsoleteQueryTimer(t *testing.T) {
 	s := baseSettings()
-	s.Subscribe, s.AskWithin, s.Fleet, s.Peers = true, 100*time.Second, 300, true
+	s.Subscribe, s.MaxQueryInterval, s.Fleet, s.Peers = true, 100*time.Second, 300, true
 	b, err := New(s, 3)
 	if err != nil {
 		t.Fatal(err)
@@ -182,7 +182,7 @@
 		return findAction(b.Step(at, &Event{Kind: TimerDue, Timer: discoveryTimer}, nil), Subscribe) != nil
 	}
 	failQuery := func(at time.Duration) time.Duration {
-		return at + findAction(b.Step(at, &Event{Kind: Listed, List: AskFailed}, nil), Wake).After
+		return at + findAction(b.Step(at, &Event{Kind: Listed, List: RequestFailed}, nil), Wake).After
 	}
 	b.Step(0, &Event{Kind: Listed, List: FromDisk}, nil)
 	first := failQuery(0)
@@ -190,7 +190,7 @@
 		t.Fatal("no query")
 	}
 	obsolete := failQuery(first)
-	hinted := first + findAction(b.Step(first, &Event{Kind: Answered}, nil), Wake).After
+	hinted := first + findAction(b.Step(first, &Event{Kind: PeerGotList}, nil), Wake).After
 	if !queried(hinted) {
 		t.Fatal("the query was not brought forward")
 	}
@@ -204,14 +204,14 @@
 // again soon however often the agent did not respond, as the list counts from the moment of the agent's return.
 func TestAsksAnAgentAgainSoon(t *testing.T) {
 	s := baseSettings()
-	s.Subscribe, s.AskWithin = true, 0
+	s.Subscribe, s.MaxQueryInterval = true, 0
 	b, err := New(s, 3)
 	if err != nil {
 		t.Fatal(err)
 	}
 	b.Step(time.Hour, &Event{Kind: Listed, List: FromDisk}, nil)
 	for n := range 9 {
-		w := findAction(b.Step(time.Hour, &Event{Kind: Listed, List: AskFailed}, nil), Wake)
+		w := findAction(b.Step(time.Hour, &Event{Kind: Listed, List: RequestFailed}, nil), Wake)
 		if w == nil || w.After <= 0 || w.After > time.Second/10 {
 			t.Fatalf("failure %d: next query %+v", n+1, w)
 		}
--- a/balance/draw.go
+++ b/balance/draw.go
@@ -77,7 +77,7 @@
 	reserved := min(reserveMax, b.shortage) * b.capacity(now, w) *
 		max(0, 1-r.value/max(cheapValueShare*b.topValue, 1e-9))
 	// An unsafe request cannot leave a worker's queue, so it needs more certainty in a shortage.
-	if r.class.Effect == Unsafe && b.settings.TellsStart {
+	if r.class.Effect == Unsafe && b.settings.ReportsStart {
 		reserved += b.shortage - unsafeOvercommit
 	}
 	return b.queueWait(now, w, r.slots+reserved-slotTolerance) <= 0
--- a/balance/draw_test.go
+++ b/balance/draw_test.go
@@ -12,7 +12,7 @@
 func TestDrainingWorkerGetsNoRequests(t *testing.T) {
 	h := newHarness(t, baseSettings(), newMembers(3)...)
 	h.step(Event{Kind: Listed, List: Changes, Members: []Member{{ID: "w00", Zone: "a", State: Draining}}})
-	h.step(Event{Kind: Listed, List: Whole, Members: []Member{{ID: "w00", Zone: "a", State: Draining}, {ID: "w02", Zone: "a"}}})
+	h.step(Event{Kind: Listed, List: Complete, Members: []Member{{ID: "w00", Zone: "a", State: Draining}, {ID: "w02", Zone: "a"}}})
 	for range 20 {
 		id, w := h.sendRequest()
 		if w != "w02" {
--- a/balance/health.go
+++ b/balance/health.go
@@ -87,7 +87,7 @@
 	if now < w.ejectedUntil || !hard && 2*(ejected+1) > len(b.ring) {
 		return
 	}
-	b.emit(Action{Kind: Doubt, Worker: w.ID, Failing: w.failureScore >= 4})
+	b.emit(Action{Kind: SuspectWorker, Worker: w.ID, Failing: w.failureScore >= 4})
 	// During the trial, half the failure score is enough for the next ejection.
 	w.hardEjected, w.trial, w.failureScore = hard, true, min(w.failureScore, 2)
 	w.ejectedUntil = now + ejectionTime<<min(w.recentEjections, ejectionDoublings)
--- a/balance/health_test.go
+++ b/balance/health_test.go
@@ -10,7 +10,7 @@
 func TestSilenceLimitDependsOnAttemptsInFlight(t *testing.T) {
 	for _, inFlight := range []int{1, 8} {
 		s := baseSettings()
-		s.TellsStart, s.Cancel = true, true
+		s.ReportsStart, s.Cancel = true, true
 		h := newHarness(t, s, newMembers(3)...)
 		id, at := h.sendRequest()
 		w := h.balancer.workers[at]
@@ -71,8 +71,8 @@
 // class, and only while other workers are left.
 func TestFullWithoutProofBlocksTheClass(t *testing.T) {
 	s := baseSettings()
-	s.FullMayHaveRun, s.TellsStart, s.Classes[0].Effect = true, true, Unsafe
-	s.Classes = append(s.Classes, Class{Name: "other", Aim: 200 * ms, Stretch: 2, Deadline: 5 * time.Second, Worth: 1})
+	s.FullMayHaveRun, s.ReportsStart, s.Classes[0].Effect = true, true, Unsafe
+	s.Classes = append(s.Classes, Class{Name: "other", LatencyTarget: 200 * ms, Stretch: 2, Deadline: 5 * time.Second, Value: 1})
 	h := newHarness(t, s, newMembers(3)...)
 	id, full := h.sendRequest()
 	if a := findAction(h.end(id, full, Full, Report{}), Fail); a == nil {
@@ -134,7 +134,7 @@
 // class, each of which used up its three attempts there.
 func TestRepeatedFullBlocksTheClassLonger(t *testing.T) {
 	s := baseSettings()
-	s.TellsStart = true
+	s.ReportsStart = true
 	h := newHarness(t, s, newMembers(2)...)
 	w, c := h.balancer.ring[0], h.balancer.classes["c"]
 	r := &request{class: c, slots: 1}
@@ -186,10 +186,10 @@
 	if share(300) == 0 {
 		t.Fatal("w03 gets no requests before the test")
 	}
-	h.step(Event{Kind: Judged, Worker: "w03", Elapsed: 1500 * ms})
-	h.step(Event{Kind: Judged, Worker: "no such worker", Elapsed: 1500 * ms})
+	h.step(Event{Kind: WorkerEjected, Worker: "w03", Elapsed: 1500 * ms})
+	h.step(Event{Kind: WorkerEjected, Worker: "no such worker", Elapsed: 1500 * ms})
 	h.now += 1499 * ms
-	h.step(Event{Kind: Judged, Worker: "w03", Elapsed: 1000 * ms}) // a second decision while the first applies
+	h.step(Event{Kind: WorkerEjected, Worker: "w03", Elapsed: 1000 * ms}) // a second decision while the first applies
 	if n := share(300); n > 0 {
 		t.Errorf("%d jobs went to an ejected worker", n)
 	}
@@ -209,8 +209,8 @@
 	if share(300) == 0 {
 		t.Error("it is not used after the trial")
 	}
-	h.step(Event{Kind: Judged, Worker: "w03", Elapsed: 1500 * ms})
-	h.step(Event{Kind: Judged, Worker: "w03"})
+	h.step(Event{Kind: WorkerEjected, Worker: "w03", Elapsed: 1500 * ms})
+	h.step(Event{Kind: WorkerEjected, Worker: "w03"})
 	if share(300) == 0 {
 		t.Error("a revoked decision still applies")
 	}
@@ -226,7 +226,7 @@
 		if w == "w03" {
 			res = Failed
 		}
-		if a := findAction(h.end(id, w, res, Report{}), Doubt); a != nil {
+		if a := findAction(h.end(id, w, res, Report{}), SuspectWorker); a != nil {
 			reported = append(reported, *a)
 		}
 		h.step(Event{Kind: Departed, Request: id})
--- a/balance/list.go
+++ b/balance/list.go
@@ -17,7 +17,7 @@
 
 // handleList applies a received worker list, or schedules the next query after a failed one.
 func (b *Balancer) handleList(now time.Duration, ev *Event) {
-	if ev.List == AskFailed {
+	if ev.List == RequestFailed {
 		b.emit(Action{Kind: Wake, Timer: discoveryTimer, After: b.discovery.failed(now, &b.settings, b.rng)})
 		return
 	}
--- a/balance/load.go
+++ b/balance/load.go
@@ -68,8 +68,8 @@
 // request.
 func (w *worker) reservationAllows(now time.Duration, r *request) bool {
 	reservation := w.reservation
-	return reservation == nil || w.reservedFor(r) || r.slots <= reservation.Spare ||
-		r.slots <= reservation.Most && now <= reservation.Last[r.class.Name]
+	return reservation == nil || w.reservedFor(r) || r.slots <= reservation.SpareSlots ||
+		r.slots <= reservation.BackfillSlots && now <= reservation.BackfillUntil[r.class.Name]
 }
 
 // load returns how many slots of w are taken or waited for, by own work and by others' work as last reported.
--- a/balance/load_test.go
+++ b/balance/load_test.go
@@ -66,7 +66,7 @@
 // Failure: while all workers were slow, jobs were repeatedly sent to slots that were not free, and cancelled again.
 func TestMissedStartsRaiseAssumedLoad(t *testing.T) {
 	s := baseSettings()
-	s.TellsStart, s.Duplicates, s.Cancel, s.Fleet = true, true, true, 1
+	s.ReportsStart, s.Duplicates, s.Cancel, s.Fleet = true, true, true, 1
 	h := newHarness(t, s, newMembers(6)...)
 	before := h.balancer.assumedLoad
 	for range 5 {
@@ -83,7 +83,7 @@
 	for range 50 {
 		id, w := h.sendRequest()
 		h.now += ms
-		h.step(Event{Kind: Noted, Request: id, Worker: w, Started: true})
+		h.step(Event{Kind: Progressed, Request: id, Worker: w, Started: true})
 		h.now += 100 * ms
 		h.end(id, w, OK, Report{})
 	}
@@ -96,7 +96,7 @@
 // served no requests.
 func TestAssumedLoadLeavesCapacity(t *testing.T) {
 	s := baseSettings()
-	s.TellsStart, s.Cancel = true, true
+	s.ReportsStart, s.Cancel = true, true
 	h := newHarness(t, s, newMembers(6)...)
 	h.balancer.otherShare, h.balancer.lastReportAt = 1, h.now
 	for range 100 {
@@ -176,8 +176,8 @@
 func TestAssumedLoadAppliesToIdleReports(t *testing.T) {
 	for _, missed := range []bool{false, true} {
 		s := baseSettings()
-		s.TellsStart, s.Fleet = true, 1
-		s.Classes = append(s.Classes, Class{Name: "valuable", Aim: 200 * ms, Stretch: 2, Deadline: 5 * time.Second, Worth: 20})
+		s.ReportsStart, s.Fleet = true, 1
+		s.Classes = append(s.Classes, Class{Name: "valuable", LatencyTarget: 200 * ms, Stretch: 2, Deadline: 5 * time.Second, Value: 20})
 		h := newHarness(t, s, newMembers(1)...)
 		w := h.balancer.ring[0]
 		w.slots, h.balancer.topValue, h.balancer.shortage = 4, 50, 0.5
@@ -206,7 +206,7 @@
 	at := h.balancer.ring[1].ID
 	w := h.balancer.workers[at]
 	before := h.balancer.load(h.now, w)
-	h.step(Event{Kind: PeerSpoke, Who: 0, Loads: map[string]float64{at: 1}})
+	h.step(Event{Kind: PeerLoads, Peer: 0, Loads: map[string]float64{at: 1}})
 	if got := h.balancer.load(h.now, w) - before; got != 1 {
 		t.Errorf("the load grows by %g", got)
 	}
@@ -216,7 +216,7 @@
 	if w.otherSlots > 0.01 {
 		t.Errorf("%g slots count as load by others", w.otherSlots)
 	}
-	h.step(Event{Kind: PeerSpoke, Who: 0})
+	h.step(Event{Kind: PeerLoads, Peer: 0})
 	if w.peerSlots != 0 {
 		t.Errorf("%g slots are announced after the end", w.peerSlots)
 	}
--- a/balance/queue.go
+++ b/balance/queue.go
@@ -42,13 +42,13 @@
 // still within its latency target.
 func (b *Balancer) value(now time.Duration, r *request) float64 {
 	c := r.class
-	value := c.Worth / r.slots
+	value := c.Value / r.slots
 	if !b.settings.ByWork {
 		value /= max(r.work, 1e-3)
 	}
 	// Which of a tenant's requests are beyond its share is unknown, so each gets the average value.
 	if part, beyond := b.tenantParts[r.tenant]; beyond && now < b.tenantPartsUntil {
-		value *= part + (1-part)*b.settings.BeyondWorth
+		value *= part + (1-part)*b.settings.BeyondShareValue
 	}
 	// The score also depends on the worst-served class, so a class that is served worse has more weight.
 	bestServed := c.servedShare
@@ -58,14 +58,14 @@
 	value *= 1 + b.settings.Goal.WorstClass/max(1e-9, b.settings.Goal.Whole+b.settings.Goal.WorstClass)*
 		min(3, worstClassGain*(bestServed-c.servedShare))
 	probability := b.onTimeProbability(r, (now - r.firstTryAt).Seconds())
-	return value * (probability + (1-probability)*c.Late)
+	return value * (probability + (1-probability)*c.LateShare)
 }
 
 // onTimeProbability returns the probability that r meets its latency target if it starts after it waited the
 // given number of seconds. Its work is assumed to be exponentially distributed. While all workers run slowly
 // because of a shared fault, only short jobs can meet the target.
 func (b *Balancer) onTimeProbability(r *request, waited float64) float64 {
-	slack, gain := r.class.Aim.Seconds()-waited, (r.class.Stretch-b.slowdown())*max(r.work, 1e-3)
+	slack, gain := r.class.LatencyTarget.Seconds()-waited, (r.class.Stretch-b.slowdown())*max(r.work, 1e-3)
 	switch {
 	case slack >= 0 && gain >= 0:
 		return 1
--- a/balance/queue_test.go
+++ b/balance/queue_test.go
@@ -11,7 +11,7 @@
 func TestQueuedRequestIsSentWhenAnnouncedLoadDrops(t *testing.T) {
 	h := newHarness(t, baseSettings(), newMembers(1)...)
 	announce := func(slots float64) *Action {
-		return findAction(h.step(Event{Kind: PeerSpoke, Who: 1, Loads: map[string]float64{"w00": slots}}), Send)
+		return findAction(h.step(Event{Kind: PeerLoads, Peer: 1, Loads: map[string]float64{"w00": slots}}), Send)
 	}
 	announce(9)
 	if _, acts := h.request(); findAction(acts, Send) != nil {
@@ -58,8 +58,8 @@
 		"cancelled": {Cancelled, 50 * ms},
 	} {
 		s := baseSettings()
-		s.MaxAttempts, s.OrderRest, s.Cancel, s.TellsStart = 1, 50*ms, true, true
-		s.Classes[0].InOrder, s.Classes[0].Effect, s.Classes[0].Aim = true, Keyed, 10*time.Second
+		s.MaxAttempts, s.KeyPause, s.Cancel, s.ReportsStart = 1, 50*ms, true, true
+		s.Classes[0].InOrder, s.Classes[0].Effect, s.Classes[0].LatencyTarget = true, Keyed, 10*time.Second
 		h := newHarness(t, s, newMembers(6)...)
 		arrive := func(id uint64, key string) *Action {
 			return findAction(h.step(Event{Kind: Arrived, Request: id, Class: "c", Key: key, Budget: 5 * time.Second, Slots: 1}), Send)
@@ -100,7 +100,7 @@
 // and all of them were late. A fresh request must go before one that is already late.
 func TestFreshJobsGoBeforeLateOnes(t *testing.T) {
 	s := baseSettings()
-	s.Classes[0].Late = 0.25
+	s.Classes[0].LateShare = 0.25
 	h := newHarness(t, s, newMembers(1)...)
 	h.balancer.ring[0].fullUntil = h.now + 3*time.Second // nothing is sent for a while
 	old, _ := h.request()
@@ -125,12 +125,12 @@
 // valuable requests. A job that starts too late must count as shortage.
 func TestLateStartsCountAsShortage(t *testing.T) {
 	s := baseSettings()
-	s.TellsStart, s.Classes[0].Late = true, 0.3
+	s.ReportsStart, s.Classes[0].LateShare = true, 0.3
 	h := newHarness(t, s, newMembers(9)...)
 	for i := range 20 {
 		id, w := h.sendRequest()
 		h.now += time.Duration(i/10) * 2 * time.Second // ten at once, ten too late
-		h.step(Event{Kind: Noted, Request: id, Worker: w, Started: true})
+		h.step(Event{Kind: Progressed, Request: id, Worker: w, Started: true})
 		if late := h.balancer.shortage > 0; late != (i >= 10) {
 			t.Fatalf("job %d: shortage %v", i, h.balancer.shortage)
 		}
@@ -148,7 +148,7 @@
 		want            bool
 	}{{Unsafe, 0, 3.3, true}, {Safe, 0, 3.3, false}, {Unsafe, 0.8, 2.9, false}, {Safe, 0.8, 2.9, true}} {
 		s := baseSettings()
-		s.TellsStart, s.Classes[0].Effect = true, c.effect
+		s.ReportsStart, s.Classes[0].Effect = true, c.effect
 		h := newHarness(t, s, newMembers(1)...)
 		w := h.balancer.ring[0]
 		w.slots, w.ownSlots, h.balancer.shortage = 4, c.taken, c.shortage
@@ -165,7 +165,7 @@
 func TestClassServedWorstGoesSooner(t *testing.T) {
 	s := baseSettings()
 	s.Goal = Goal{Whole: 0.45, WorstClass: 0.3}
-	s.Classes = append(s.Classes, Class{Name: "wide", Aim: 200 * ms, Stretch: 2, Deadline: 5 * time.Second, Worth: 1})
+	s.Classes = append(s.Classes, Class{Name: "wide", LatencyTarget: 200 * ms, Stretch: 2, Deadline: 5 * time.Second, Value: 1})
 	h := newHarness(t, s, newMembers(1)...)
 	small := &request{class: h.balancer.classes["c"], slots: 1, work: 0.1, firstTryAt: h.now}
 	wide := &request{class: h.balancer.classes["wide"], slots: 2, work: 0.1, firstTryAt: h.now}
@@ -174,7 +174,7 @@
 	}
 	h.balancer.requests[9] = wide
 	for range 15 {
-		h.balancer.reject(h.now, wide, NoRoom)
+		h.balancer.reject(h.now, wide, NoCapacity)
 	}
 	if h.balancer.value(h.now, wide) <= h.balancer.value(h.now, small) {
 		t.Errorf("values: wide %g, small %g, though wide requests are served worse", h.balancer.value(h.now, wide), h.balancer.value(h.now, small))
@@ -188,26 +188,26 @@
 	class := baseSettings().Classes[0].Name
 	for _, c := range []struct {
 		name        string
-		reservation Keep
+		reservation Reservation
 		want        bool
 	}{
-		{"reserved for another request", Keep{Request: 99}, false},
-		{"reserved by another dispatcher", Keep{}, false},
-		{"reserved for this request", Keep{Request: 1}, true},
-		{"fits beside the reservation", Keep{Request: 99, Spare: 1}, true},
-		{"ends before the reservation", Keep{Request: 99, Most: 1, Last: map[string]time.Duration{class: time.Hour}}, true},
-		{"ends after the reservation starts", Keep{Request: 99, Most: 1, Last: map[string]time.Duration{class: 1}}, false},
-		{"ends before the reservation, but is too large", Keep{Request: 99, Most: 0.5, Last: map[string]time.Duration{class: time.Hour}}, false},
+		{"reserved for another request", Reservation{Request: 99}, false},
+		{"reserved by another dispatcher", Reservation{}, false},
+		{"reserved for this request", Reservation{Request: 1}, true},
+		{"fits beside the reservation", Reservation{Request: 99, SpareSlots: 1}, true},
+		{"ends before the reservation", Reservation{Request: 99, BackfillSlots: 1, BackfillUntil: map[string]time.Duration{class: time.Hour}}, true},
+		{"ends after the reservation starts", Reservation{Request: 99, BackfillSlots: 1, BackfillUntil: map[string]time.Duration{class: 1}}, false},
+		{"ends before the reservation, but is too large", Reservation{Request: 99, BackfillSlots: 0.5, BackfillUntil: map[string]time.Duration{class: time.Hour}}, false},
 	} {
 		h := newHarness(t, baseSettings(), newMembers(1)...)
 		w := h.balancer.ring[0]
-		h.step(Event{Kind: Kept, Worker: w.ID, Request: c.reservation.Request, Keep: &c.reservation})
+		h.step(Event{Kind: Reserved, Worker: w.ID, Request: c.reservation.Request, Reservation: &c.reservation})
 		acts := h.step(Event{Kind: Arrived, Request: 1, Class: class, Budget: time.Second, Slots: 1})
 		if got := findAction(acts, Send) != nil; got != c.want {
 			t.Errorf("%s: sent %v", c.name, got)
 		}
 		if !c.want { // once released, any request may use it
-			if acts := h.step(Event{Kind: Kept, Worker: w.ID}); findAction(acts, Send) == nil {
+			if acts := h.step(Event{Kind: Reserved, Worker: w.ID}); findAction(acts, Send) == nil {
 				t.Errorf("%s: not sent after the reservation was released", c.name)
 			}
 		}
@@ -220,7 +220,7 @@
 	}
 	h.step(Event{Kind: Arrived, Request: 7, Class: class, Budget: time.Second, Slots: 1})
 	far.fullUntil = 0
-	if a := findAction(h.step(Event{Kind: Kept, Worker: far.ID, Request: 7, Keep: &Keep{Request: 7}}), Send); a == nil || a.Worker != far.ID {
+	if a := findAction(h.step(Event{Kind: Reserved, Worker: far.ID, Request: 7, Reservation: &Reservation{Request: 7}}), Send); a == nil || a.Worker != far.ID {
 		t.Error("a request did not use its reservation")
 	}
 	m := far.Member
@@ -234,8 +234,8 @@
 // the decision about shares is valid.
 func TestTenantsBeyondTheirSharesGoLater(t *testing.T) {
 	s := baseSettings()
-	s.Fleet, s.BeyondWorth = 1, 0.1
-	s.Classes[0].Worth = 1
+	s.Fleet, s.BeyondShareValue = 1, 0.1
+	s.Classes[0].Value = 1
 	h := newHarness(t, s, newMembers(1)...)
 	id, at := h.sendRequest() // the only slot
 	h.step(Event{Kind: Ended, Request: id, Worker: at, Result: OK, Final: true, Elapsed: 50 * ms, Report: Report{Present: true, InFlight: 1, Free: 0}})
@@ -259,7 +259,7 @@
 	if got := first(); got != "much" {
 		t.Fatalf("%s goes first without a decision about shares, want the first to arrive", got)
 	}
-	h.step(Event{Kind: Shared, Parts: map[string]float64{"much": 0.6}, Elapsed: 2 * time.Second})
+	h.step(Event{Kind: TenantShares, TenantParts: map[string]float64{"much": 0.6}, Elapsed: 2 * time.Second})
 	if got := first(); got != "little" {
 		t.Fatalf("%s goes first", got)
 	}
--- a/balance/reason.go
+++ b/balance/reason.go
@@ -6,22 +6,22 @@
 
 // The reasons to refuse or fail a request.
 const (
-	UnknownClass Reason = "unknown class"
-	NoTarget     Reason = "no target may be sent to"
-	NoRoom       Reason = "no room in time"
-	NotStarted   Reason = "not started in time"
-	OutOfTime    Reason = "out of time"
-	AttemptsOver Reason = "attempts used up"
-	BudgetOver   Reason = "retry budget used up"
-	MayHaveRun   Reason = "may have run and must not be repeated"
-	TargetFull   Reason = "target full"
+	UnknownClass         Reason = "unknown class"
+	NoTarget             Reason = "no target may be sent to"
+	NoCapacity           Reason = "no room in time"
+	NotStarted           Reason = "not started in time"
+	OutOfTime            Reason = "out of time"
+	AttemptsExhausted    Reason = "attempts used up"
+	RetryBudgetExhausted Reason = "retry budget used up"
+	MayHaveRun           Reason = "may have run and must not be repeated"
+	TargetFull           Reason = "target full"
 )
 
 // The reasons to cancel an attempt.
 const (
-	ClientLeft  Reason = "client left"
-	AnswerGiven Reason = "answered without it"
-	OtherServed Reason = "another attempt served"
-	OtherBegan  Reason = "another attempt started"
-	UnfitTarget Reason = "target judged unfit"
+	ClientLeft    Reason = "client left"
+	ResponseSent  Reason = "answered without it"
+	OtherServed   Reason = "another attempt served"
+	OtherStarted  Reason = "another attempt started"
+	TargetEjected Reason = "target judged unfit"
 )
--- a/balance/answer.go
+++ b/balance/reject.go
@@ -16,7 +16,7 @@
 	} else {
 		b.emit(Action{Kind: Fail, Request: r.id, Reason: reason})
 	}
-	b.close(now, r, AnswerGiven)
+	b.close(now, r, ResponseSent)
 }
 
 // mayRefuse reports whether a client may retry r without harm, which a refusal promises.
@@ -47,7 +47,7 @@
 	case r.queued && !slices.ContainsFunc(b.ring, isReady):
 		return NoTarget
 	case r.queued:
-		return NoRoom
+		return NoCapacity
 	case now >= r.respondBy:
 		return OutOfTime
 	}
@@ -63,14 +63,14 @@
 	case r.inFlight > 0:
 		return ""
 	case len(r.attempts) >= r.class.maxAttempts:
-		return AttemptsOver
+		return AttemptsExhausted
 	case now >= r.usefulStartBy:
-		return NoRoom
+		return NoCapacity
 	case b.retryTokens < 0:
-		return BudgetOver
+		return RetryBudgetExhausted
 	case r.class.Effect == Unsafe && b.firstMayHaveRun(r) != nil:
 		return MayHaveRun
-	case lastResult == Full && !b.settings.TellsStart:
+	case lastResult == Full && !b.settings.ReportsStart:
 		// Without start reports, further attempts would fill every queue until all responses are late.
 		return TargetFull
 	}
--- a/balance/request.go
+++ b/balance/request.go
@@ -29,14 +29,14 @@
 	// as late ones and be refused.
 	if !ev.First {
 		c.longestBudget = max(c.longestBudget, ev.Budget)
-		if ev.Budget < c.longestBudget*49/50 && (ev.Repeat || !b.settings.MarksRepeat) {
+		if ev.Budget < c.longestBudget*49/50 && (ev.Repeat || !b.settings.ClientsMarkRetries) {
 			r.firstTryAt = now - max(0, c.Deadline-ev.Budget)
 		}
 	}
 	r.respondBy = now + max(0, ev.Budget-2*b.settings.Tick)
 	b.estimate(r)
 	b.requests[r.id] = r
-	b.earnedAttempts += b.settings.ExtraRatio
+	b.earnedAttempts += b.settings.RetryBudgetRatio
 	if c.InOrder && ev.Key != "" {
 		b.joinKeyQueue(now, r, ev.Key)
 	}
@@ -58,8 +58,8 @@
 	if r.hint > 0 && c.hintSeconds > 0 {
 		r.work *= c.workSeconds / c.hintSeconds
 	}
-	r.onTimeStartBy = min(r.respondBy, r.firstTryAt+c.Aim+seconds(max(0, c.Stretch-b.slowdown())*r.work))
-	if r.usefulStartBy = r.onTimeStartBy; c.Late > 0 {
+	r.onTimeStartBy = min(r.respondBy, r.firstTryAt+c.LatencyTarget+seconds(max(0, c.Stretch-b.slowdown())*r.work))
+	if r.usefulStartBy = r.onTimeStartBy; c.LateShare > 0 {
 		r.usefulStartBy = r.respondBy
 	}
 }
@@ -146,14 +146,14 @@
 // including windows that start after the requests that earned the attempts. For each recent further attempt,
 // the number since then, one more included, must not exceed what was earned since then.
 func (b *Balancer) mayRetry(now time.Duration) bool {
-	windowStart := now - b.settings.ExtraWindow - b.settings.Tick
+	windowStart := now - b.settings.RetryBudgetWindow - b.settings.Tick
 	b.furtherAttempts = slices.DeleteFunc(b.furtherAttempts, func(earlier sample) bool {
 		return earlier.at < windowStart
 	})
 	count := len(b.furtherAttempts) + 1
 	for index, earlier := range append(b.furtherAttempts, sample{now, b.earnedAttempts}) {
-		if b.settings.ExtraWindow > 0 &&
-			float64(count-index) > b.settings.ExtraFree+b.earnedAttempts-earlier.value {
+		if b.settings.RetryBudgetWindow > 0 &&
+			float64(count-index) > b.settings.RetryBudgetFree+b.earnedAttempts-earlier.value {
 			return false
 		}
 	}
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -192,7 +192,7 @@
 		}
 		for _, a := range earlier.attempts {
 			doubtful := a.result == TimedOut || a.result == Reset || a.result == Cancelled
-			if a.inFlight || doubtful && now < a.endedAt+c.settings.OrderRest {
+			if a.inFlight || doubtful && now < a.endedAt+c.settings.KeyPause {
 				c.report(now, "rule 5: sent while an attempt of its key is in flight or may still run")
 			}
 		}
@@ -204,15 +204,15 @@
 	c.furtherAttempts = append(c.furtherAttempts, now)
 	count := func(ts []time.Duration) (further float64) {
 		for _, at := range ts {
-			if at >= now-c.settings.ExtraWindow {
+			if at >= now-c.settings.RetryBudgetWindow {
 				further++
 			}
 		}
 		return further
 	}
 	further, accepted := count(c.furtherAttempts), count(c.arrivals)
-	if c.settings.ExtraWindow > 0 && further > c.settings.ExtraFree+c.settings.ExtraRatio*accepted {
-		c.report(now, "rule 6: %v further attempts within %v, for %v requests", further, c.settings.ExtraWindow, accepted)
+	if c.settings.RetryBudgetWindow > 0 && further > c.settings.RetryBudgetFree+c.settings.RetryBudgetRatio*accepted {
+		c.report(now, "rule 6: %v further attempts within %v, for %v requests", further, c.settings.RetryBudgetWindow, accepted)
 	}
 }
 
@@ -221,12 +221,12 @@
 func (c *ruleChecker) checkColdBudget(now time.Duration, w *observedWorker) {
 	sum := 0.0
 	for _, s := range w.sends {
-		if s.at > now-c.settings.FallWindow {
+		if s.at > now-c.settings.CollapseWindow {
 			sum += s.workSeconds
 		}
 	}
 	warm := c.settings.ColdFrom + (1-c.settings.ColdFrom)*(now-w.Started).Seconds()/c.settings.ColdFor.Seconds()
-	if budget := c.settings.FallMultiple * c.slots * warm * c.settings.FallWindow.Seconds(); sum > budget+1e-9 {
+	if budget := c.settings.CollapseMultiple * c.slots * warm * c.settings.CollapseWindow.Seconds(); sum > budget+1e-9 {
 		c.report(now, "rule 4: %.3f s of work sent to a cold worker with a budget of %.3f s", sum, budget)
 	}
 }
@@ -235,7 +235,7 @@
 func (c *ruleChecker) checkDeadlines(now time.Duration) {
 	c.openIDs = slices.DeleteFunc(c.openIDs, func(id uint64) bool { return c.requests[id].done })
 	for _, id := range c.openIDs {
-		if r := c.requests[id]; now > r.deadline+c.settings.AnswerSlack {
+		if r := c.requests[id]; now > r.deadline+c.settings.ResponseSlack {
 			c.report(now, "rule 1: no final response by %v", r.deadline)
 			r.done = true
 		}
@@ -263,12 +263,12 @@
 // randomSettings returns valid random settings.
 func randomSettings(rng *rand.Rand) Settings {
 	s := Settings{Self: 0, Fleet: 1 + rng.IntN(5), Zone: "z0", Tick: time.Duration(1+rng.IntN(5)) * ms,
-		ReportsFree: rng.IntN(3) > 0, TellsStart: rng.IntN(2) == 0, Subscribe: rng.IntN(2) == 0,
+		ReportsFree: rng.IntN(3) > 0, ReportsStart: rng.IntN(2) == 0, Subscribe: rng.IntN(2) == 0,
 		MaxAttempts: 1 + rng.IntN(5), Duplicates: rng.IntN(2) == 0, Cancel: rng.IntN(3) > 0,
 		Probes: rng.IntN(2) == 0, MaxRetryAfter: time.Second,
-		AnswerSlack: 20 * ms, AskWithin: 10 * time.Second, ColdFrom: 0.1 + 0.5*rng.Float64(),
+		ResponseSlack: 20 * ms, MaxQueryInterval: 10 * time.Second, ColdFrom: 0.1 + 0.5*rng.Float64(),
 		ColdFor: time.Duration(2+rng.IntN(20)) * time.Second, DrainGrace: time.Duration(rng.IntN(2000)) * ms,
-		FallMultiple: 2 + 2*rng.Float64(), FallWindow: time.Duration(1+rng.IntN(3)) * time.Second,
+		CollapseMultiple: 2 + 2*rng.Float64(), CollapseWindow: time.Duration(1+rng.IntN(3)) * time.Second,
 		ByWork: rng.IntN(2) == 0, Goal: Goal{Whole: 0.7, WorstClass: 0.3}, Prices: Prices{CrossZone: 0.02}}
 	if rng.IntN(4) == 0 {
 		s.Fleet, s.Self = 300, rng.IntN(300)
@@ -276,18 +276,18 @@
 	if rng.IntN(2) == 0 {
 		s.ProgressEvery = time.Second
 	}
-	s.FullMayHaveRun, s.MarksRepeat = rng.IntN(3) == 0, rng.IntN(2) == 0
+	s.FullMayHaveRun, s.ClientsMarkRetries = rng.IntN(3) == 0, rng.IntN(2) == 0
 	if rng.IntN(3) == 0 {
-		s.ExtraFree, s.ExtraRatio, s.ExtraWindow = float64(rng.IntN(4)), 0.3*rng.Float64(), time.Duration(1+rng.IntN(3))*time.Second
+		s.RetryBudgetFree, s.RetryBudgetRatio, s.RetryBudgetWindow = float64(rng.IntN(4)), 0.3*rng.Float64(), time.Duration(1+rng.IntN(3))*time.Second
 	}
 	ordered := rng.IntN(2) == 0
-	s.OrderRest = time.Duration(rng.IntN(3)*50) * ms
+	s.KeyPause = time.Duration(rng.IntN(3)*50) * ms
 	for i := range 4 {
 		c := Class{Name: fmt.Sprintf("c%d", i), Effect: Effect(i % 3), Scope: Scope(rng.IntN(3)),
-			Window: time.Duration(500+rng.IntN(4000)) * ms, Aim: time.Duration(100+rng.IntN(400)) * ms,
-			Stretch: 1 + rng.Float64(), Deadline: time.Duration(1+rng.IntN(8)) * time.Second, Worth: 1 + rng.Float64()*8}
+			Window: time.Duration(500+rng.IntN(4000)) * ms, LatencyTarget: time.Duration(100+rng.IntN(400)) * ms,
+			Stretch: 1 + rng.Float64(), Deadline: time.Duration(1+rng.IntN(8)) * time.Second, Value: 1 + rng.Float64()*8}
 		if rng.IntN(4) == 0 {
-			c.Late = 0.5
+			c.LateShare = 0.5
 		}
 		c.InOrder = ordered && rng.IntN(2) == 0
 		s.Classes = append(s.Classes, c)
@@ -303,7 +303,7 @@
 	sim.checker = &ruleChecker{settings: settings, runSeconds: map[string]float64{}, slots: float64(2 + rng.IntN(4)), requests: map[uint64]*observedRequest{},
 		workers: map[string]*observedWorker{}}
 	for _, c := range settings.Classes {
-		sim.checker.runSeconds[c.Name] = c.Aim.Seconds() * (0.5 + rng.Float64())
+		sim.checker.runSeconds[c.Name] = c.LatencyTarget.Seconds() * (0.5 + rng.Float64())
 	}
 	for i := range 3 + rng.IntN(8) {
 		m := Member{ID: fmt.Sprintf("w%02d", i), Zone: fmt.Sprintf("z%d", i%3), Cell: fmt.Sprint(i % 4), Weight: 1}
@@ -361,7 +361,7 @@
 // sendList changes some workers at random and delivers a list with the given scope.
 func (s *simulation) sendList(scope ListScope) {
 	ev := Event{Kind: Listed, List: scope}
-	if scope == AskFailed {
+	if scope == RequestFailed {
 		s.step(ev)
 		return
 	}
@@ -506,10 +506,10 @@
 		if started {
 			a.startedAt = s.now
 		}
-		s.step(Event{Kind: Noted, Request: o.id, Attempt: o.attempt, Worker: a.worker, Started: started,
+		s.step(Event{Kind: Progressed, Request: o.id, Attempt: o.attempt, Worker: a.worker, Started: started,
 			Fraction: s.rng.Float64()})
 	case n < 78:
-		s.sendList([]ListScope{Changes, Changes, Whole, AskFailed}[s.rng.IntN(4)])
+		s.sendList([]ListScope{Changes, Changes, Complete, RequestFailed}[s.rng.IntN(4)])
 	case n < 80 && len(s.checker.openIDs) > 0:
 		if r := s.checker.requests[s.checker.openIDs[s.rng.IntN(len(s.checker.openIDs))]]; r != nil && !r.done {
 			r.done = true
@@ -523,19 +523,19 @@
 	case n < 82: // unknown IDs and workers
 		s.step(Event{Kind: Ended, Request: 1 << 50, Worker: "unknown", Result: Result(s.rng.IntN(8))})
 		s.step(Event{Kind: Departed, Request: 1 << 50})
-		s.step(Event{Kind: Noted, Request: 1 << 50, Attempt: 3, Started: true})
+		s.step(Event{Kind: Progressed, Request: 1 << 50, Attempt: 3, Started: true})
 		s.step(Event{Kind: TimerDue, Timer: s.rng.Uint64()})
 		s.step(Event{Kind: Probed, Worker: "unknown"})
-		s.step(Event{Kind: PeerSpoke})
-		s.step(Event{Kind: Kept, Worker: "unknown", Request: 1 << 50, Keep: &Keep{Request: 1 << 50}})
+		s.step(Event{Kind: PeerLoads})
+		s.step(Event{Kind: Reserved, Worker: "unknown", Request: 1 << 50, Reservation: &Reservation{Request: 1 << 50}})
 	case n < 84 && len(s.checker.openIDs) > 0 && s.rng.IntN(3) > 0: // reservations made and released, valid or not
-		keep := &Keep{Request: s.checker.openIDs[s.rng.IntN(len(s.checker.openIDs))], Spare: float64(s.rng.IntN(3)), Most: 1}
+		keep := &Reservation{Request: s.checker.openIDs[s.rng.IntN(len(s.checker.openIDs))], SpareSlots: float64(s.rng.IntN(3)), BackfillSlots: 1}
 		for _, id := range slices.Sorted(maps.Keys(s.checker.workers)) {
 			if s.rng.IntN(4) == 0 {
 				if s.rng.IntN(2) == 0 {
 					keep = nil
 				}
-				s.step(Event{Kind: Kept, Worker: id, Request: s.checker.openIDs[0], Keep: keep})
+				s.step(Event{Kind: Reserved, Worker: id, Request: s.checker.openIDs[0], Reservation: keep})
 			}
 		}
 	case n < 83 && s.rng.IntN(6) == 0:
--- a/cmd/cottonlab/main.go
+++ b/cmd/cottonlab/main.go
@@ -17,7 +17,7 @@
 	"github.com/schollz/progressbar/v3"
 	"github.com/spf13/pflag"
 
-	"cottonwell/internal/lab"
+	"cottonwell/internal/experiment"
 )
 
 const usage = `cottonlab, an emulated site and experiments on schedulers
@@ -70,7 +70,7 @@
 	flags := pflag.NewFlagSet("cottonlab "+name, pflag.ContinueOnError)
 	flags.SetOutput(stdout)
 	flags.Usage = func() { fmt.Fprintf(stdout, "usage: cottonlab %s [flags]\n%s", name, flags.FlagUsages()) }
-	var options lab.Options
+	var options experiment.Options
 	argumentCounts := map[string]int{"run": 1, "report": 1, "diff": 2, "check": 1, "help": 0}
 	switch name {
 	case "run":
@@ -105,14 +105,14 @@
 	case "up":
 		return up(ctx, flags.Args(), options, stdout)
 	case "check":
-		e, err := lab.Load(flags.Arg(0))
+		e, err := experiment.Load(flags.Arg(0))
 		if err != nil {
 			return usageError(err)
 		}
 		fmt.Fprintf(stdout, "%s is valid: %d variants, %d checks\n", flags.Arg(0), len(e.Variants), len(e.Checks))
 		return nil
 	case "report":
-		s, err := lab.Read(flags.Arg(0))
+		s, err := experiment.Read(flags.Arg(0))
 		if err != nil {
 			return usageError(err)
 		}
@@ -123,15 +123,15 @@
 		fmt.Fprintln(stdout, path)
 		return nil
 	case "diff":
-		a, err := lab.Read(flags.Arg(0))
+		a, err := experiment.Read(flags.Arg(0))
 		if err != nil {
 			return usageError(err)
 		}
-		b, err := lab.Read(flags.Arg(1))
+		b, err := experiment.Read(flags.Arg(1))
 		if err != nil {
 			return usageError(err)
 		}
-		fmt.Fprint(stdout, lab.Diff(a, b))
+		fmt.Fprint(stdout, experiment.Diff(a, b))
 		return nil
 	}
 	return fmt.Errorf("%w: unknown command %q; 'cottonlab help' lists them", errUsage, name)
@@ -148,11 +148,11 @@
 
 // runExperiment runs the experiment in file, writes the summary to options.Out and prints the checks. It returns
 // errCheck if one fails.
-func runExperiment(ctx context.Context, file string, options lab.Options, stdout, stderr io.Writer) error {
+func runExperiment(ctx context.Context, file string, options experiment.Options, stdout, stderr io.Writer) error {
 	if options.Out == "" {
 		return fmt.Errorf("%w: run needs --out, a folder for the results", errUsage)
 	}
-	e, err := lab.Load(file)
+	e, err := experiment.Load(file)
 	if err != nil {
 		return usageError(err)
 	}
--- a/cmd/cottonlab/up.go
+++ b/cmd/cottonlab/up.go
@@ -10,7 +10,7 @@
 
 	"cottonwell/internal/config"
 	"cottonwell/internal/emulator"
-	"cottonwell/internal/lab"
+	"cottonwell/internal/experiment"
 	"cottonwell/internal/tomlfile"
 )
 
@@ -19,12 +19,12 @@
 
 // localSite is the file of a site for manual tests.
 type localSite struct {
-	Shop emulator.Spec `toml:"shop"`
-	Room *config.Room  `toml:"room"`
+	Site emulator.Spec        `toml:"shop"`
+	Room *config.Reservations `toml:"room"`
 }
 
 // up starts a site and its schedulers, repeats the site's load and prints counters every second until ctx ends.
-func up(ctx context.Context, args []string, options lab.Options, stdout io.Writer) error {
+func up(ctx context.Context, args []string, options experiment.Options, stdout io.Writer) error {
 	file := defaultFile
 	if len(args) > 1 {
 		return fmt.Errorf("%w: up takes at most one file", errUsage)
@@ -36,7 +36,7 @@
 	if err := tomlfile.Load(file, &site); err != nil {
 		return usageError(err)
 	}
-	if err := site.Shop.Check(); err != nil {
+	if err := site.Site.Check(); err != nil {
 		return usageError(fmt.Errorf("%s: shop: %w", file, err))
 	}
 	if options.Out != "" {
@@ -44,14 +44,14 @@
 			return usageError(err)
 		}
 	}
-	testbed, err := lab.StartReady(ctx, &site.Shop, options.Seed, &lab.Variant{Name: "local", Room: site.Room}, options)
+	testbed, err := experiment.StartReady(ctx, &site.Site, options.Seed, &experiment.Variant{Name: "local", Room: site.Room}, options)
 	if err != nil {
 		return err
 	}
 	defer testbed.Stop()
-	fmt.Fprintf(stdout, "%d workers and %d schedulers are running. Send a request of the same load with the command below; Ctrl-C stops all:\n\n", len(site.Shop.Workers()), site.Shop.Schedulers)
-	class := site.Shop.Classes[0]
-	fmt.Fprintf(stdout, "  curl -i -X POST -H 'X-Txn: 00000000-9' -H 'X-Org: %s' -d '{}' http://%s/%s\n\n", site.Shop.Tenants[0].Name, testbed.Shop.Nodes()[0].Listen, class.Name)
+	fmt.Fprintf(stdout, "%d workers and %d schedulers are running. Send a request of the same load with the command below; Ctrl-C stops all:\n\n", len(site.Site.Workers()), site.Site.Schedulers)
+	class := site.Site.Classes[0]
+	fmt.Fprintf(stdout, "  curl -i -X POST -H 'X-Txn: 00000000-9' -H 'X-Org: %s' -d '{}' http://%s/%s\n\n", site.Site.Tenants[0].Name, testbed.Site.Nodes()[0].Listen, class.Name)
 	var mu sync.Mutex
 	counts := map[string]int{}
 	countStatus := func(status int) {
@@ -72,7 +72,7 @@
 	go func() {
 		defer close(done)
 		for seed := options.Seed; ctx.Err() == nil; seed++ {
-			testbed.Shop.Play(ctx, seed, countStatus)
+			testbed.Site.RunLoad(ctx, seed, countStatus)
 		}
 	}()
 	ticker := time.NewTicker(time.Second)
@@ -88,9 +88,9 @@
 		if err := testbed.UnexpectedExit(); err != nil {
 			return err
 		}
-		slots, reservations := testbed.Shop.Held()
+		slots, reservations := testbed.Site.ReservedSlots()
 		mu.Lock()
-		line := fmt.Sprintf("%4d s  served %d  refused %d  failed %d  left %d  reservations %d, %.0f slots now  rules broken %v", n, counts["served"], counts["refused"], counts["failed"], counts["left"], reservations, slots, testbed.Shop.Broken())
+		line := fmt.Sprintf("%4d s  served %d  refused %d  failed %d  left %d  reservations %d, %.0f slots now  rules broken %v", n, counts["served"], counts["refused"], counts["failed"], counts["left"], reservations, slots, testbed.Site.Violations())
 		mu.Unlock()
 		fmt.Fprintln(stdout, line)
 	}
--- a/cmd/cottonwell/control_test.go
+++ b/cmd/cottonwell/control_test.go
@@ -119,11 +119,11 @@
 	require.NoError(t, err)
 	_, _ = io.Copy(io.Discard, resp.Body)
 	require.Equal(t, http.StatusOK, resp.StatusCode)
-	require.True(t, httpio.Up(address, time.Second))
+	require.True(t, httpio.CheckReady(address, time.Second))
 
 	require.True(t, requestControl(t, "POST", control, "out-of-service"))
 	requestedAt := time.Now()
-	require.False(t, httpio.Up(address, time.Second))
+	require.False(t, httpio.CheckReady(address, time.Second))
 	require.False(t, requestControl(t, "GET", control, "ready"))
 	fleet.requireServing("out of service, while clients still send")
 	for _, c := range []net.Conn{idle, unused} {
@@ -133,7 +133,7 @@
 	}
 	require.True(t, requestControl(t, "POST", control, "in-service"))
 	returnedAt := time.Now()
-	require.Eventually(t, func() bool { return httpio.Up(address, time.Second) }, readyWithin, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return httpio.CheckReady(address, time.Second) }, readyWithin, 10*time.Millisecond)
 	require.Less(t, time.Since(returnedAt), readyWithin)
 	fleet.requireServing("back in service")
 }
--- a/cmd/cottonwell/exchange_test.go
+++ b/cmd/cottonwell/exchange_test.go
@@ -24,7 +24,7 @@
 	"cottonwell/internal/clock"
 	"cottonwell/internal/config"
 	"cottonwell/internal/gearman"
-	"cottonwell/internal/net/shared"
+	"cottonwell/internal/net/reuseport"
 )
 
 // testTimeout is the maximum wait for an expected event. A test reaches it only on a fault.
@@ -61,7 +61,7 @@
 
 func listenLoopback(t *testing.T) net.Listener {
 	t.Helper()
-	ln, err := shared.Listen("127.0.0.1:0") // closeAndRefuse may bind a second socket to the port later
+	ln, err := reuseport.Listen("127.0.0.1:0") // closeAndRefuse may bind a second socket to the port later
 	require.NoError(t, err)
 	t.Cleanup(func() { ln.Close() })
 	return ln
@@ -111,7 +111,7 @@
 	}
 	p.sched, err = assemble(cfg, operator, p.clock, slog.New(slog.NewTextHandler(&p.logs, &slog.HandlerOptions{Level: slog.LevelDebug})))
 	require.NoError(t, err)
-	p.sched.targets.DialFor = clock.Millis(testTimeout) // runs on the system clock, and must not fail the test on a slow machine
+	p.sched.targets.DialTimeout = clock.Millis(testTimeout) // runs on the system clock, and must not fail the test on a slow machine
 	clientListener := listenLoopback(t)
 	p.clientAddress = clientListener.Addr().String()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -172,7 +172,7 @@
 			}
 		}
 	}()
-	p.waitUntil("the first list", func() bool { return p.sched.core.Books().Lists == 2 })
+	p.waitUntil("the first list", func() bool { return p.sched.core.Stats().Lists == 2 })
 }
 
 // sendHeartbeat makes the emulated discovery send a heartbeat. It does nothing if the script plays discovery.
@@ -180,9 +180,9 @@
 	if p.heartbeats == nil {
 		return
 	}
-	signs := p.sched.core.Books().SignsOfLife
+	signs := p.sched.core.Stats().Heartbeats
 	p.heartbeats <- struct{}{}
-	p.waitUntil("a heartbeat", func() bool { return p.sched.core.Books().SignsOfLife > signs })
+	p.waitUntil("a heartbeat", func() bool { return p.sched.core.Stats().Heartbeats > signs })
 }
 
 // closeAndRefuse closes a listener and keeps its port bound until the test process exits, so that connections to it are
@@ -323,19 +323,19 @@
 				ms, err := strconv.ParseFloat(verb, 64)
 				require.NoError(t, err)
 				if name == "alarm" {
-					p.waitUntil(line, func() bool { return p.clock.RingsAt(p.clock.Now() + ms) })
+					p.waitUntil(line, func() bool { return p.clock.IsSetFor(p.clock.Now() + ms) })
 				}
-				p.sched.core.Books() // makes the core process all earlier events before the clock advances
+				p.sched.core.Stats() // makes the core process all earlier events before the clock advances
 				p.clock.Advance(ms)
 				p.sendHeartbeat()
 			case "books":
 				n, err := strconv.Atoi(text)
 				require.NoError(t, err)
 				p.waitUntil(line, func() bool {
-					b := p.sched.core.Books()
-					return map[string]int{"taken": b.Taken, "left": b.Left, "served": b.Served, "refused": b.Refused, "failed": b.Failed,
-						"sends": b.Sends, "targets": b.Targets, "lapses": b.Lapses, "signs": b.SignsOfLife, "late": b.Dropped["news of an attempt that is over"], "open": b.Open,
-						"waiting": p.sched.targets.Waiting(), "lists": b.Lists, "list_failures": b.ListFailures, "probes": b.Probes, "answers": b.ProbesEnded, "withheld": b.Withheld}[verb] == n
+					b := p.sched.core.Stats()
+					return map[string]int{"taken": b.Accepted, "left": b.ClientsLeft, "served": b.Served, "refused": b.Refused, "failed": b.Failed,
+						"sends": b.Dispatches, "targets": b.Targets, "lapses": b.Lapses, "signs": b.Heartbeats, "late": b.Dropped["news of an attempt that is over"], "open": b.Open,
+						"waiting": p.sched.targets.Pending(), "lists": b.Lists, "list_failures": b.ListFailures, "probes": b.Probes, "answers": b.ProbesEnded, "withheld": b.Withheld}[verb] == n
 				})
 			case "ready": // whether clients are accepted
 				if verb == "soon" {
@@ -356,7 +356,7 @@
 				p.stop()
 				p.waitUntil("not ready", func() bool { return !p.sched.listener.Ready() })
 			case "wound": // the program no longer keeps connections
-				p.waitUntil("connections are no longer kept", func() bool { return p.sched.listener.Winding() })
+				p.waitUntil("connections are no longer kept", func() bool { return p.sched.listener.ShuttingDown() })
 			default:
 				require.Fail(t, "unknown line in the script", "%d: %s", i+1, line)
 			}
--- a/cmd/cottonwell/leases.go
+++ b/cmd/cottonwell/leases.go
@@ -33,8 +33,8 @@
 // scheduler that neither watches nor polls notified after the time that the settings give. That time applies to discovery
 // that is polled, and not to an agent that pushes.
 func unwatchedLease(cfg *config.Config) float64 {
-	notifiedWithin := clock.Millis(cfg.Settings.AskWithin)
-	if cfg.Discovery == "" || cfg.Pushed || notifiedWithin <= 0 || notifiedWithin >= assumedNotifiedAfter {
+	notifiedWithin := clock.Millis(cfg.Settings.MaxQueryInterval)
+	if cfg.Discovery == "" || cfg.ListsPushed || notifiedWithin <= 0 || notifiedWithin >= assumedNotifiedAfter {
 		return listLease(cfg)
 	}
 	return max(minLease, notifiedWithin-leaseMargin)
@@ -43,7 +43,7 @@
 // previousAddressLease returns the time in milliseconds for which the list of the previous discovery address is valid after
 // SIGHUP has changed the address. It is 0 if the list is valid for as long as any other.
 func previousAddressLease(cfg *config.Config) float64 {
-	if !cfg.Pushed {
+	if !cfg.ListsPushed {
 		return 0
 	}
 	return assumedNotifiedAfterReload - leaseMargin
--- a/cmd/cottonwell/leases_test.go
+++ b/cmd/cottonwell/leases_test.go
@@ -27,7 +27,7 @@
 		{"a", true, 3 * time.Second, 5700},
 		{"", false, 3 * time.Second, 0},
 	} {
-		cfg := &config.Config{Discovery: c.discovery, Pushed: c.pushed, Settings: balance.Settings{AskWithin: c.within}}
+		cfg := &config.Config{Discovery: c.discovery, ListsPushed: c.pushed, Settings: balance.Settings{MaxQueryInterval: c.within}}
 		require.Equal(t, c.want, unwatchedLease(cfg), "%+v", c)
 		require.LessOrEqual(t, unwatchedLease(cfg), listLease(cfg))
 	}
--- a/cmd/cottonwell/main.go
+++ b/cmd/cottonwell/main.go
@@ -115,9 +115,9 @@
 		}
 		fmt.Fprintf(stdout, "configuration of %s is valid: %d classes, %d known targets\n",
 			cfg.Name, len(cfg.Settings.Classes), len(cfg.Known.Endpoints))
-		if operator != nil && operator.Room != nil {
-			reservation := operator.Plan()
-			fmt.Fprintf(stdout, "operator's file is valid: slots are reserved for jobs of %g slots, at most %g%% of the slots\n", reservation.Large, 100*reservation.Share)
+		if operator != nil && operator.Reservations != nil {
+			reservation := operator.PlannerConfig()
+			fmt.Fprintf(stdout, "operator's file is valid: slots are reserved for jobs of %g slots, at most %g%% of the slots\n", reservation.LargeSlots, 100*reservation.Share)
 		}
 		if operator != nil && operator.Gearman != nil {
 			fmt.Fprintf(stdout, "operator's file is valid: Gearman at %s, %d functions, %d workers\n",
--- a/cmd/cottonwell/reload.go
+++ b/cmd/cottonwell/reload.go
@@ -39,12 +39,12 @@
 				r.log.Error("reload: the old rules stay", "cause", err)
 			}
 		}
-		address, err := config.Discovery(r.configPath)
+		address, err := config.ReadDiscoveryAddress(r.configPath)
 		if err != nil {
 			r.log.Error("reload: the old configuration stays", "cause", err)
 			continue
 		}
 		r.log.Info("reload", "discovery", address)
-		r.watcher.Move(address)
+		r.watcher.SetAddress(address)
 	}
 }
--- a/cmd/cottonwell/rules_test.go
+++ b/cmd/cottonwell/rules_test.go
@@ -350,7 +350,7 @@
 	for i := range cfg.Settings.Classes {
 		// A job that cannot meet its latency target gets its response early. If that happened after 150 ms, a stall of the machine
 		// would end jobs before their second submission arrives.
-		cfg.Settings.Classes[i].Aim = testTimeout
+		cfg.Settings.Classes[i].LatencyTarget = testTimeout
 	}
 	operator, err := config.LoadOperator("testdata/operator.toml", &cfg.Settings)
 	require.NoError(t, err)
@@ -386,10 +386,10 @@
 			runGearmanClient(t, checker, gearmanListener.Addr().String(), phase+"-buy", "buy", requestsEach)
 		})
 		clients.Wait()
-		listsBefore := sched.core.Books().Lists
+		listsBefore := sched.core.Stats().Lists
 		which := [][]int{{1}, {0, 2}}[i]
 		drain <- which
-		require.Eventually(t, func() bool { return sched.core.Books().Lists > listsBefore }, testTimeout, time.Millisecond, "the drain was not received")
+		require.Eventually(t, func() bool { return sched.core.Stats().Lists > listsBefore }, testTimeout, time.Millisecond, "the drain was not received")
 		checker.mu.Lock()
 		for _, k := range which {
 			checker.drained[fmt.Sprintf("s-%d", k+1)] = true
--- a/cmd/cottonwell/serve.go
+++ b/cmd/cottonwell/serve.go
@@ -22,7 +22,7 @@
 	"cottonwell/internal/invariant"
 	"cottonwell/internal/net/control"
 	"cottonwell/internal/net/discovery"
-	"cottonwell/internal/net/duties"
+	"cottonwell/internal/net/fleethost"
 	"cottonwell/internal/net/handover"
 	"cottonwell/internal/net/httpio"
 	"cottonwell/internal/net/listener"
@@ -99,7 +99,7 @@
 	log.Info("start", "listen", listenAddress, "takes_over", listeners.openClients != nil, "control", cfg.Control, "discovery", cfg.Discovery, "targets", len(cfg.Known.Endpoints), "memory_mb", cfg.Limits.MemoryMB, "sockets", cfg.Limits.Sockets)
 	reloader := &reloadHandler{configPath: opts.configPath, hup: hup, watcher: s.watcher, log: log}
 	if s.duties != nil {
-		reloader.logFleet = s.duties.Show
+		reloader.logFleet = s.duties.LogState
 		if operator.Fleet.Rules != nil {
 			reloader.publishRules = func() error {
 				doc, err := operator.Fleet.Rules.Load(&cfg.Settings)
@@ -126,30 +126,30 @@
 	listener   *listener.Listener
 	gearman    *gearman.Server // nil if disabled
 	peers      *peers.Link     // nil if schedulers may not send messages to one another
-	duties     *duties.Host    // nil if the operator's file has no [fleet]
+	duties     *fleethost.Host // nil if the operator's file has no [fleet]
 	handover   *handover.Link  // nil if no other process can take over
 	killDelay  float64         // minimum time from SIGTERM to SIGKILL, in milliseconds
 }
 
 // coreRules converts a document of the fleet's rules to the form of the core.
 func coreRules(doc *rules.Doc) core.Rules {
-	result := core.Rules{Attempts: map[string]int{}, ComeBack: map[string]float64{}, Cold: 1, Targets: map[string]bool{}, Zones: map[string]bool{}}
+	result := core.Rules{Attempts: map[string]int{}, RetryAfterMS: map[string]float64{}, ColdFactor: 1, DrainedTargets: map[string]bool{}, DrainedZones: map[string]bool{}}
 	for name, class := range doc.Classes {
 		if class.Attempts != nil {
 			result.Attempts[name] = *class.Attempts
 		}
-		if class.ComeBack != nil {
-			result.ComeBack[name] = float64(*class.ComeBack)
+		if class.RetryAfter != nil {
+			result.RetryAfterMS[name] = float64(*class.RetryAfter)
 		}
 	}
 	if doc.Cold.Share != nil {
-		result.Cold = float64(*doc.Cold.Share)
+		result.ColdFactor = float64(*doc.Cold.Share)
 	}
 	for _, drain := range doc.Drains {
 		if drain.Zone != "" {
-			result.Zones[drain.Zone] = true
+			result.DrainedZones[drain.Zone] = true
 		} else {
-			result.Targets[drain.Target] = true
+			result.DrainedTargets[drain.Target] = true
 		}
 	}
 	return result
@@ -172,31 +172,31 @@
 	}
 	sink := &deferredCore{}
 	s.targets = target.New(target.Config{Clock: clk, Log: log, Stack: stack, Sink: sink, Host: "origin.svc",
-		Sockets: httpio.NewBudget(connections * 2 / 5),
-		DialFor: clock.Millis(cfg.Settings.DialTimeout), IdleFor: clock.Millis(cfg.Settings.ConnIdle)})
+		Sockets:     httpio.NewBudget(connections * 2 / 5),
+		DialTimeout: clock.Millis(cfg.Settings.DialTimeout), IdleTimeout: clock.Millis(cfg.Settings.ConnIdle)})
 	s.watcher = discovery.New(discovery.Config{Address: cfg.Discovery, Clock: clk, Log: log, Stack: stack,
-		Held: len(cfg.Known.Endpoints) > 0, From: cfg.Known.Index, Tell: func(g core.Group) { sink.List("discovery", g) },
-		SignOfLife: func(readAt float64) { sink.SignOfLife("discovery", readAt) },
-		Moved:      func() { sink.Moved("discovery") }})
+		HasList: len(cfg.Known.Endpoints) > 0, FromVersion: cfg.Known.Index, OnList: func(g core.TargetList) { sink.UpdateTargets("discovery", g) },
+		OnHeartbeat:     func(readAt float64) { sink.Heartbeat("discovery", readAt) },
+		OnAddressChange: func() { sink.DiscoveryAddressChanged("discovery") }})
 	knownGroup, err := cfg.Known.TargetGroup()
 	if err != nil {
 		log.Warn("entry of the known list ignored", "cause", err)
 	}
 	sources := []core.Source{{Name: "discovery", Transport: s.targets}}
 	if cfg.Discovery != "" {
-		sources[0].Watch = s.watcher.Watch
+		sources[0].Watch = s.watcher.RequestWatch
 	}
 	if operator != nil && operator.Gearman != nil {
 		s.gearman = gearman.New(*operator.Gearman, fmt.Sprintf("%s-%x", cfg.Name, uint64(clk.Now())), sink, clk, log, stack.Buffers)
-		sources = append(sources, core.Source{Name: gearman.Source, Transport: s.gearman})
+		sources = append(sources, core.Source{Name: gearman.SourceName, Transport: s.gearman})
 	}
 	var sendToPeers func([]int, string)
 	if cfg.Settings.Peers {
-		if s.peers, err = peers.Open(peers.Config{Listen: cfg.PeerListen, Peers: cfg.Peers, All: cfg.PeersAll, Shared: cfg.Control != ""}, log); err != nil {
+		if s.peers, err = peers.Open(peers.Config{Listen: cfg.PeerListen, Peers: cfg.Peers, Broadcast: cfg.PeersAll, Shared: cfg.Control != ""}, log); err != nil {
 			return nil, err
 		}
 		if s.peers != nil {
-			sendToPeers = s.peers.Tell
+			sendToPeers = s.peers.Send
 		}
 	}
 	if operator != nil && operator.Fleet != nil {
@@ -204,36 +204,36 @@
 			return nil, fmt.Errorf("operator's file: [fleet] is set up, but schedulers cannot send messages to one another")
 		}
 		link := s.peers
-		if s.duties, err = duties.New(duties.Config{Fleet: operator.Fleet.Plan(&cfg.Settings, cfg.Peers, cfg.Seed), Clock: clk, Log: log,
-			Tell:  func(to int, message string) { link.Tell([]int{to}, message) },
-			Probe: func(target string) { s.core.Examine(target) },
-			Judge: func(target string, validFor float64) { s.core.Judge(target, validFor) },
-			Rule: func(now *rules.Doc, until float64, strict *rules.Doc) {
-				s.core.Rule(coreRules(now), until, coreRules(strict))
+		if s.duties, err = fleethost.New(fleethost.Config{Fleet: operator.Fleet.MachineConfig(&cfg.Settings, cfg.Peers, cfg.Seed), Clock: clk, Log: log,
+			Send:        func(to int, message string) { link.Send([]int{to}, message) },
+			Probe:       func(target string) { s.core.Probe(target) },
+			SetExcluded: func(target string, validFor float64) { s.core.ApplyVerdict(target, validFor) },
+			ApplyRules: func(now *rules.Doc, until float64, strict *rules.Doc) {
+				s.core.ApplyRules(coreRules(now), until, coreRules(strict))
 			},
-			Share: func(shares map[string]float64, validFor float64) { s.core.Share(shares, validFor) }}); err != nil {
+			SetShares: func(shares map[string]float64, validFor float64) { s.core.ApplyShares(shares, validFor) }}); err != nil {
 			return nil, err
 		}
 	}
-	coreConfig := core.Config{Tell: sendToPeers, Room: operator.Plan(), Settings: cfg.Settings, Seed: cfg.Seed, Clock: clk, Log: log, Invariants: invariants,
-		ComeBack: defaultRetryAfter, Known: map[string]core.Group{"discovery": knownGroup}, ListLease: listLease(cfg), UnwatchedLease: unwatchedLease(cfg), MovedLease: previousAddressLease(cfg)}
+	coreConfig := core.Config{SendToPeers: sendToPeers, Planner: operator.PlannerConfig(), Settings: cfg.Settings, Seed: cfg.Seed, Clock: clk, Log: log, Invariants: invariants,
+		RetryAfterMS: defaultRetryAfter, StoredLists: map[string]core.TargetList{"discovery": knownGroup}, ListLease: listLease(cfg), UnwatchedLease: unwatchedLease(cfg), AddressChangeLease: previousAddressLease(cfg)}
 	if cfg.Control != "" {
-		coreConfig.Stray = s.forwardUnmatched
+		coreConfig.ForwardUnmatched = s.forwardUnmatched
 	}
 	if s.duties != nil && operator.Fleet.Examiner != nil {
-		coreConfig.Doubt, coreConfig.Probed = s.duties.Doubt, s.duties.Probed
+		coreConfig.ReportSuspicion, coreConfig.ReportProbe = s.duties.ReportSuspicion, s.duties.ReportProbe
 	}
 	if s.duties != nil {
-		coreConfig.Listed = func(listed []core.Target) {
+		coreConfig.ReportTargets = func(listed []core.Target) {
 			zones := make(map[string]string, len(listed))
 			for _, t := range listed {
 				zones[t.ID] = t.Zone
 			}
-			s.duties.Listed(zones)
+			s.duties.SetTargets(zones)
 		}
 	}
 	if s.duties != nil && operator.Fleet.Accountant != nil {
-		coreConfig.Asked = s.duties.Asked
+		coreConfig.CountRequest = s.duties.CountRequest
 	}
 	s.core, err = core.New(coreConfig, sources...)
 	if err != nil {
@@ -242,7 +242,7 @@
 	sink.Core = s.core
 	classes := map[string]listener.Class{}
 	for _, class := range cfg.Settings.Classes {
-		classes[class.Name] = listener.Class{Patience: clock.Millis(class.Deadline), Keyed: class.Effect == balance.Keyed}
+		classes[class.Name] = listener.Class{ClientTimeout: clock.Millis(class.Deadline), KeyRequired: class.Effect == balance.Keyed}
 		s.killDelay = max(s.killDelay, minGracePeriod+min(maxJobGrace, clock.Millis(class.Deadline)))
 	}
 	s.listener = listener.New(s.core, clk, log, stack, classes, httpio.NewBudget(connections*3/5))
@@ -267,7 +267,7 @@
 	defer cancel()
 	s.startParts(workCtx, &tasks, reloader, &listeners)
 	select { // no request can be served before a list is valid
-	case <-s.core.Fresh():
+	case <-s.core.ListReady():
 	case <-listTimeout.C():
 	case <-ctx.Done():
 	}
@@ -323,11 +323,11 @@
 	if s.peers == nil {
 		return
 	}
-	receive := s.core.Heard
+	receive := s.core.ReceivePeerMessage
 	if s.duties != nil {
 		receive = func(sender int, message string) {
-			if s.duties.Heard(sender, message); !fleet.Reads(message) {
-				s.core.Heard(sender, message)
+			if s.duties.Receive(sender, message); !fleet.IsFleetDatagram(message) {
+				s.core.ReceivePeerMessage(sender, message)
 			}
 		}
 		tasks.Go(func() { s.duties.Run(ctx) })
@@ -361,16 +361,16 @@
 		}
 		var sent, received int64
 		if s.peers != nil {
-			sent, received = s.peers.Sent.Load(), s.peers.Heard.Load()
+			sent, received = s.peers.Sent.Load(), s.peers.Received.Load()
 		}
 		var handedOver, dropped int64
 		if s.handover != nil {
 			handedOver, dropped = s.handover.Counts.PassedOn.Load(), s.handover.Counts.Dropped.Load()
 		}
-		coreStats, targetCounts, listenerCounts := s.core.Books(), &s.targets.Counts, &s.listener.Counts
-		s.log.Info("books", "open", coreStats.Open, "taken", coreStats.Taken, "served", coreStats.Served, "refused", coreStats.Refused, "failed", coreStats.Failed,
-			"left", coreStats.Left, "sends", coreStats.Sends, "cancels", coreStats.Cancels, "probes", coreStats.Probes, "withheld", coreStats.Withheld, "lists", coreStats.Lists, "lapses", coreStats.Lapses, "lapsed_ms", coreStats.LapsedFor, "refused_lapsed", coreStats.RefusedLapsed, "words_told", coreStats.WordsTold, "words_passed_on", coreStats.WordsPassedOn, "list_failures", coreStats.ListFailures, "outcomes", coreStats.Outcomes, "dropped", coreStats.Dropped,
-			"refused_by", coreStats.Reasons.Refused, "failed_by", coreStats.Reasons.Failed, "given_up_by", coreStats.Reasons.GivenUp, "not_begun_by", coreStats.Reasons.NotBegun, "retries_after", coreStats.Reasons.Retries,
-			"dialled", targetCounts.Dialled.Load(), "reused", targetCounts.Reused.Load(), "retired", targetCounts.Retired.Load(), "unheard", targetCounts.Unheard.Load(), "told", sent, "heard", received, "rejected", listenerCounts.Rejected.Load(), "evicted", listenerCounts.Evicted.Load(), "spared", listenerCounts.Spared.Load(), "turned_off", listenerCounts.TurnedOff.Load(), "closed_to_targets", targetCounts.Closes.Counts(), "closed_to_clients", listenerCounts.Closes.Counts(), "unreadable_datagrams", coreStats.Unreadable, "handed_over", handedOver, "handover_dropped", dropped, "room", coreStats.Room, "invariants", s.invariants.Counts())
+		coreStats, targetCounts, listenerCounts := s.core.Stats(), &s.targets.Counts, &s.listener.Counts
+		s.log.Info("books", "open", coreStats.Open, "taken", coreStats.Accepted, "served", coreStats.Served, "refused", coreStats.Refused, "failed", coreStats.Failed,
+			"left", coreStats.ClientsLeft, "sends", coreStats.Dispatches, "cancels", coreStats.Cancels, "probes", coreStats.Probes, "withheld", coreStats.Withheld, "lists", coreStats.Lists, "lapses", coreStats.Lapses, "lapsed_ms", coreStats.LapsedMS, "refused_lapsed", coreStats.RefusedLapsed, "words_told", coreStats.ListMessagesSent, "words_passed_on", coreStats.ForwardedConfirmations, "list_failures", coreStats.ListFailures, "outcomes", coreStats.Outcomes, "dropped", coreStats.Dropped,
+			"refused_by", coreStats.Reasons.Refused, "failed_by", coreStats.Reasons.Failed, "given_up_by", coreStats.Reasons.Cancelled, "not_begun_by", coreStats.Reasons.NotStarted, "retries_after", coreStats.Reasons.Retries,
+			"dialled", targetCounts.Dials.Load(), "reused", targetCounts.Reused.Load(), "retired", targetCounts.Retired.Load(), "unheard", targetCounts.Unacknowledged.Load(), "told", sent, "heard", received, "rejected", listenerCounts.Rejected.Load(), "evicted", listenerCounts.Evicted.Load(), "spared", listenerCounts.ClosedExcessIdle.Load(), "turned_off", listenerCounts.RefusedNoSlot.Load(), "closed_to_targets", targetCounts.Closes.Counts(), "closed_to_clients", listenerCounts.Closes.Counts(), "unreadable_datagrams", coreStats.UnreadableDatagrams, "handed_over", handedOver, "handover_dropped", dropped, "room", coreStats.Reservations, "invariants", s.invariants.Counts())
 	}
 }
--- a/cmd/cottonwell/winddown.go
+++ b/cmd/cottonwell/shutdown.go
@@ -4,7 +4,7 @@
 	"context"
 	"net"
 
-	"cottonwell/internal/net/shared"
+	"cottonwell/internal/net/reuseport"
 )
 
 // shutDown does the graceful shutdown after SIGTERM. It returns once each accepted request has its response, or shortly before
@@ -14,7 +14,7 @@
 	hasSuccessor := clients != nil && s.handover != nil && s.handover.OtherReady()
 	s.log.Info("winding down", "successor", hasSuccessor)
 	if hasSuccessor {
-		if err := shared.Stop(clients); err != nil {
+		if err := reuseport.Stop(clients); err != nil {
 			s.log.Warn("cannot stop accepting clients", "cause", err)
 		}
 	}
@@ -27,9 +27,9 @@
 	if !hasSuccessor {
 		s.sleep(startedAt + max(minGracePeriod, s.killDelay-closeLead) - s.clock.Now())
 	}
-	s.listener.Wind()
+	s.listener.StartShutdown()
 	if s.gearman != nil {
-		s.gearman.Wind() // otherwise clients that keep their connections would delay the exit
+		s.gearman.StartShutdown() // otherwise clients that keep their connections would delay the exit
 	}
 	finishAlarm, exitAlarm, pollAlarm := s.clock.NewAlarm(), s.clock.NewAlarm(), s.clock.NewAlarm()
 	defer pollAlarm.Stop()
@@ -44,8 +44,8 @@
 			s.log.Warn("exiting with open connections", "busy", s.listener.Busy())
 			return
 		case <-finishAlarm.C():
-			s.core.Finish() // a request without a response at SIGKILL is lost
-			s.listener.Shut()
+			s.core.EndOpenFlows() // a request without a response at SIGKILL is lost
+			s.listener.FinishShutdown()
 			idleClosed = true
 		case <-pollAlarm.C():
 			idle = s.core.Idle()
@@ -55,7 +55,7 @@
 					return
 				}
 				// A connection without a request so far may have its first one on the way; the next poll finds it.
-				s.listener.Shut()
+				s.listener.FinishShutdown()
 				idleClosed = true
 			}
 			idle = nil                        // until the next poll; meanwhile the other alarms are still handled
--- a/cmd/cottonwell/operated.go
+++ b/cmd/cottonwell/takeover.go
@@ -7,7 +7,7 @@
 	"cottonwell/internal/core"
 	"cottonwell/internal/net/control"
 	"cottonwell/internal/net/handover"
-	"cottonwell/internal/net/shared"
+	"cottonwell/internal/net/reuseport"
 )
 
 // operatorControl gives the control address access to the scheduler.
@@ -22,8 +22,8 @@
 func (o operatorControl) Online(target string) bool {
 	return o.propagateMaintenance(target, false, o.core.Online(target))
 }
-func (o operatorControl) OutOfService() { o.listener.Leave() }
-func (o operatorControl) InService()    { o.listener.Return() }
+func (o operatorControl) OutOfService() { o.listener.TakeOutOfService() }
+func (o operatorControl) InService()    { o.listener.PutInService() }
 
 // propagateMaintenance notifies the scheduler's other process that a target is offline or online, if the target is known. It
 // returns known.
@@ -39,21 +39,21 @@
 
 var _ handover.Process = handoverProcess{}
 
-func (s handoverProcess) Ready() bool               { return s.listener.Ready() && !s.listener.Winding() }
-func (s handoverProcess) News(news core.TargetNews) { s.core.News(news) }
-func (s handoverProcess) Maintained() []string      { return s.core.Maintained() }
+func (s handoverProcess) Ready() bool                              { return s.listener.Ready() && !s.listener.ShuttingDown() }
+func (s handoverProcess) ReceiveCallback(news core.TargetCallback) { s.core.ReceiveCallback(news) }
+func (s handoverProcess) Maintained() []string                     { return s.core.Maintained() }
 func (s handoverProcess) Maintain(target string, offline bool) {
 	if offline {
-		s.core.Inherit(target)
+		s.core.InheritOffline(target)
 		return
 	}
 	s.core.Online(target)
 }
 
 // forwardUnmatched forwards a report on a job that is unknown in this process to the scheduler's other process.
-func (s *scheduler) forwardUnmatched(news core.TargetNews) {
+func (s *scheduler) forwardUnmatched(news core.TargetCallback) {
 	if s.handover != nil {
-		s.handover.PassOn(news)
+		s.handover.Forward(news)
 	}
 }
 
@@ -62,7 +62,7 @@
 func (s *scheduler) takeOverMaintenance() {
 	for _, target := range s.handover.Inherited() {
 		s.log.Info("target under maintenance taken over from another process", "target", target)
-		s.core.Inherit(target)
+		s.core.InheritOffline(target)
 	}
 }
 
@@ -71,5 +71,5 @@
 	if cfg.Control == "" {
 		return net.Listen("tcp", cfg.Listen)
 	}
-	return shared.Listen(cfg.Listen)
+	return reuseport.Listen(cfg.Listen)
 }
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -13,9 +13,9 @@
 	"github.com/spf13/pflag"
 
 	"cottonwell/balance"
+	"cottonwell/internal/backfill"
 	"cottonwell/internal/config"
-	"cottonwell/internal/decide"
-	"cottonwell/internal/room"
+	"cottonwell/internal/decision"
 	"cottonwell/internal/wire"
 )
 
@@ -27,7 +27,7 @@
 		fmt.Fprintln(os.Stderr, "simhost:", err)
 		os.Exit(2)
 	}
-	if err := serve(os.Stdin, os.Stdout, op.Plan()); err != nil {
+	if err := serve(os.Stdin, os.Stdout, op.PlannerConfig()); err != nil {
 		fmt.Fprintln(os.Stderr, "simhost:", err)
 		os.Exit(1)
 	}
@@ -35,7 +35,7 @@
 
 // instance is one dispatcher.
 type instance struct {
-	decider *decide.Decider
+	decider *decision.Decider
 	failed  bool // set once its decider has panicked; it then receives no more events
 }
 
@@ -45,11 +45,11 @@
 	lists      [16][]balance.Member
 	out        *wire.Writer
 	actions    []balance.Action
-	roomConfig *room.Config // of reservations; nil if disabled
+	roomConfig *backfill.Config // of reservations; nil if disabled
 }
 
 // serve reads batches from r until r ends, and prints the reply to each to w.
-func serve(r io.Reader, w io.Writer, roomConfig *room.Config) error {
+func serve(r io.Reader, w io.Writer, roomConfig *backfill.Config) error {
 	reader := wire.NewReader(r)
 	h := &host{instances: map[int]*instance{}, out: wire.NewWriter(w), roomConfig: roomConfig}
 	var batch wire.Item
@@ -91,14 +91,14 @@
 		delete(h.instances, item.Instance)
 		return nil
 	case wire.Start:
-		decider, err := decide.New(item.Settings, item.Seed, h.roomConfig)
+		decider, err := decision.New(item.Settings, item.Seed, h.roomConfig)
 		if err != nil {
 			return fmt.Errorf("dispatcher %d: %w", item.Instance, err)
 		}
 		h.instances[item.Instance] = &instance{decider: decider}
 		return nil
 	case wire.List:
-		if item.Event.List != balance.AskFailed {
+		if item.Event.List != balance.RequestFailed {
 			item.Event.Members = h.lists[item.Buffer]
 		}
 	}
--- a/internal/room/api.go
+++ b/internal/backfill/api.go
@@ -1,4 +1,4 @@
-// Package room plans reservations for large jobs. A large job that finds no target with enough free
+// Package backfill plans reservations for large jobs. A large job that finds no target with enough free
 // slots gets a reservation at the target where it can start first. Small jobs may still run there if
 // they end before the reservation begins, or fit beside it. This is EASY backfilling (Lifka 1995;
 // Mu'alem and Feitelson 2001), adapted to schedulers that receive the targets' reports late and share
@@ -11,7 +11,7 @@
 //
 // It is a state machine without I/O, like package balance. It reads no clock, starts no goroutine and
 // has no global state. Times are milliseconds on the host's clock.
-package room
+package backfill
 
 import (
 	"fmt"
@@ -41,20 +41,20 @@
 
 // Config configures a planner.
 type Config struct {
-	Self, Fleet int      // number of this scheduler, and number of schedulers
-	Classes     []string // of flows; run times are learned for each
-	Mode        Mode
-	Large       float64 // slots from which a flow is large
-	Share       float64 // share of the target group's slots that may be reserved at once, 0 to 1
-	TenantShare float64 // share of the reservable slots for one tenant, 0 to 1; each may have one reservation in any case
-	Longest     float64 // longest duration of a reservation, ms
-	Confidence  float64 // share of the backfilled jobs that must end before the reservation begins, 0.5 to 0.99
-	SmallDrop   float64 // share of the small flows that may go unserved because of reservations, 0 to 1
+	Self, Fleet      int      // number of this scheduler, and number of schedulers
+	Classes          []string // of flows; run times are learned for each
+	Mode             Mode
+	LargeSlots       float64 // slots from which a flow is large
+	Share            float64 // share of the target group's slots that may be reserved at once, 0 to 1
+	TenantShare      float64 // share of the reservable slots for one tenant, 0 to 1; each may have one reservation in any case
+	MaxDuration      float64 // longest duration of a reservation, ms
+	Confidence       float64 // share of the backfilled jobs that must end before the reservation begins, 0.5 to 0.99
+	MaxSmallUnserved float64 // share of the small flows that may go unserved because of reservations, 0 to 1
 }
 
 // Default returns the values of the settings that an operator's file omits.
 func Default() Config {
-	return Config{Fleet: 1, Large: 2, Share: 0.25, TenantShare: 0.6, Longest: 1000, Confidence: 0.9, SmallDrop: 0.02}
+	return Config{Fleet: 1, LargeSlots: 2, Share: 0.25, TenantShare: 0.6, MaxDuration: 1000, Confidence: 0.9, MaxSmallUnserved: 0.02}
 }
 
 // Check returns an error that names the first invalid setting, or nil.
@@ -64,12 +64,12 @@
 		value, lowest, highest float64
 		unit, allowed          string
 	}{
-		{"large", c.Large, 1, 1024, "slots", "1 to 1024"},
+		{"large", c.LargeSlots, 1, 1024, "slots", "1 to 1024"},
 		{"share", c.Share, 0, 1, "", "0% to 100%"},
 		{"tenant_share", c.TenantShare, 0, 1, "", "0% to 100%"},
-		{"longest", c.Longest, 1, 60_000, "ms", "1ms to 1m"},
+		{"longest", c.MaxDuration, 1, 60_000, "ms", "1ms to 1m"},
 		{"confidence", c.Confidence, 0.5, 0.99, "", "50% to 99%"},
-		{"small_drop", c.SmallDrop, 0, 1, "", "0% to 100%"},
+		{"small_drop", c.MaxSmallUnserved, 0, 1, "", "0% to 100%"},
 	} {
 		if !(setting.value >= setting.lowest && setting.value <= setting.highest) {
 			return fmt.Errorf("room.%s is %g%s, and may be %s", setting.name, setting.value, setting.unit, setting.allowed)
@@ -192,11 +192,11 @@
 
 // Counts are the planner's totals since its start.
 type Counts struct {
-	Held, Moved              int              // reservations made; those of them that replaced a failed one of the flow
-	LetGo                    [reasonCount]int // reservations released, by reason
-	Gaps, Wrong              int              // small jobs backfilled before a reservation; those of them that ended too late
-	TooLarge, NoUsefulStart  int              // large flows larger than any target; searches that found no target before the latest start
-	Refused                  int              // reservations rejected because of the shares or the adjusted scale
-	OverLimit                int              // flows and targets beyond the planner's limits
-	SmallDone, SmallUnserved int              // small flows that ended; those of them unserved after they waited beside a reservation
+	Reserved, Moved            int              // reservations made; those of them that replaced a failed one of the flow
+	Released                   [reasonCount]int // reservations released, by reason
+	Backfilled, BackfilledLate int              // small jobs backfilled before a reservation; those of them that ended too late
+	TooLarge, NoUsefulStart    int              // large flows larger than any target; searches that found no target before the latest start
+	Refused                    int              // reservations rejected because of the shares or the adjusted scale
+	OverLimit                  int              // flows and targets beyond the planner's limits
+	SmallDone, SmallUnserved   int              // small flows that ended; those of them unserved after they waited beside a reservation
 }
--- a/internal/room/attempts.go
+++ b/internal/backfill/attempts.go
@@ -1,4 +1,4 @@
-package room
+package backfill
 
 import (
 	"slices"
@@ -28,7 +28,7 @@
 	f.backfillEnd = 0
 	if r := t.reservation; r != nil && f.need > r.spareSlots && now <= r.backfillUntil[f.class] {
 		f.backfillEnd = r.neededAt
-		p.Counts.Gaps++
+		p.Counts.Backfilled++
 	}
 	if t.reservation != nil {
 		t.reservation.notified = false // the host lowers SpareSlots when it sends a job, until it is notified again
@@ -54,7 +54,7 @@
 		// The quantile rises with each job that ended too late and falls with each other one. So the
 		// share of late ones approaches what the operator allows.
 		if now > f.backfillEnd {
-			p.Counts.Wrong++
+			p.Counts.BackfilledLate++
 			p.backfillQuantile += quantileGain * p.config.Confidence
 		} else {
 			p.backfillQuantile -= quantileGain * (1 - p.config.Confidence)
--- a/internal/room/bench_test.go
+++ b/internal/backfill/bench_test.go
@@ -1,4 +1,4 @@
-package room
+package backfill
 
 import (
 	"fmt"
--- a/internal/room/heap.go
+++ b/internal/backfill/heap.go
@@ -1,4 +1,4 @@
-package room
+package backfill
 
 // heap is a binary min-heap. It reports each item's index through setIndex, so that an item whose
 // order changed, or that is removed, needs no search.
--- a/internal/room/placing.go
+++ b/internal/backfill/placement.go
@@ -1,4 +1,4 @@
-package room
+package backfill
 
 import (
 	"cmp"
@@ -28,7 +28,7 @@
 	*f = flow{id: ev.Flow, class: class, need: max(ev.Need, 1), memory: ev.Memory, machineKind: ev.MachineKind, queueIndex: -1}
 	f.size, f.inTrial = p.addSize(f.need), p.inTrial(now)
 	f.trialSettling = f.inTrial && math.Mod(now, trialPeriod) < trialSettleTime
-	f.large = f.need >= p.config.Large
+	f.large = f.need >= p.config.LargeSlots
 	p.flows[f.id] = f
 	return f
 }
@@ -103,7 +103,7 @@
 	p.reservedSlots += r.slots
 	f.tenant.reservedSlots += r.slots
 	p.lastReservedAt = now
-	p.Counts.Held++
+	p.Counts.Reserved++
 	if f.reservationCount > 1 {
 		p.Counts.Moved++
 	}
@@ -117,7 +117,7 @@
 	for _, t := range p.dirty {
 		t.dirty = false
 		for i, slots := range p.sizes {
-			if slots >= p.config.Large {
+			if slots >= p.config.LargeSlots {
 				t.readyAt[i] = p.readyAt(now, t, slots)
 				p.byReadyTime[i].fix(t.heapIndex[i])
 			}
--- a/internal/room/planner_test.go
+++ b/internal/backfill/planner_test.go
@@ -1,4 +1,4 @@
-package room
+package backfill
 
 import (
 	"fmt"
@@ -182,7 +182,7 @@
 	large := h.queueLarge(150)
 	h.endJob(ids[0])
 	backfilled := h.start("buy", "t0", 1)
-	require.Equal(t, 1, h.p.Counts.Gaps)
+	require.Equal(t, 1, h.p.Counts.Backfilled)
 	h.elapse(80)
 	for _, id := range ids[1:] {
 		h.endJob(id)
@@ -192,7 +192,7 @@
 	require.Contains(t, []Reason{TooLate}, h.releaseReasons["t0"])
 	h.elapse(50)
 	h.endJob(backfilled)
-	require.Equal(t, 1, h.p.Counts.Wrong)
+	require.Equal(t, 1, h.p.Counts.BackfilledLate)
 	require.Greater(t, h.p.Confidence(), before)
 	h.handle(Event{Kind: FlowDone, Flow: large})
 	for range 200 {
@@ -216,7 +216,7 @@
 		"the target is cold": {func(h *testHost, _ uint64) {
 			h.handle(Event{Kind: TargetMeasured, Target: "t0", Slots: 4, Busy: 4, Memory: -1, Slowdown: 1, Cold: true})
 		}, TargetCold},
-		"the longest duration is over": {func(h *testHost, _ uint64) { h.p.config.Longest = 50; h.elapse(70) }, Expired},
+		"the longest duration is over": {func(h *testHost, _ uint64) { h.p.config.MaxDuration = 50; h.elapse(70) }, Expired},
 		"all jobs there are replaced":  {func(h *testHost, _ uint64) { h.elapse(90); h.fillTargets("t0"); h.elapse(10) }, TooLate},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -391,14 +391,14 @@
 	h.queueJob("", 2, 250)
 	h.handle(Event{Kind: PeerReserved, Peer: 1, Reservations: []PeerReservation{{Target: "t0", Slots: 4, From: h.now + 90}}})
 	require.Zero(t, h.reservations["t0"].Flow)
-	require.Equal(t, 1, h.p.Counts.LetGo[Superseded])
+	require.Equal(t, 1, h.p.Counts.Released[Superseded])
 }
 
 func TestInvalidSettings(t *testing.T) {
 	for want, change := range map[string]func(*Config){
-		"room.large":      func(c *Config) { c.Large = 0 },
+		"room.large":      func(c *Config) { c.LargeSlots = 0 },
 		"room.share":      func(c *Config) { c.Share = 1.1 },
-		"room.longest":    func(c *Config) { c.Longest = math.NaN() },
+		"room.longest":    func(c *Config) { c.MaxDuration = math.NaN() },
 		"room.confidence": func(c *Config) { c.Confidence = 0.3 },
 		"scheduler 2":     func(c *Config) { c.Self = 2; c.Fleet = 2 },
 		"classes":         func(c *Config) { c.Classes = nil },
--- a/internal/room/holds.go
+++ b/internal/backfill/reservations.go
@@ -1,4 +1,4 @@
-package room
+package backfill
 
 import (
 	"math"
@@ -22,7 +22,7 @@
 			reason = TargetUnhealthy
 		case r.slots > t.slots+slotTolerance:
 			reason = TargetLeft // the target restarted with fewer slots
-		case now-r.since > p.config.Longest:
+		case now-r.since > p.config.MaxDuration:
 			reason = Expired
 		case now > f.latestStart:
 			reason = TooLate
@@ -75,7 +75,7 @@
 			free += math.Floor(others * p.runTimes.all.cumulative((r.neededAt-min(now, r.since))/t.slowdown))
 		}
 		spareSlots = max(0, math.Floor(free-r.slots+slotTolerance))
-		backfillSlots = p.config.Large - slotTolerance
+		backfillSlots = p.config.LargeSlots - slotTolerance
 	}
 	unchanged := r.notified && r.spareSlots == spareSlots
 	for class := range r.backfillUntil {
@@ -103,7 +103,7 @@
 // confidence that backfilling needs. It is infinite until run times are known.
 func (p *Planner) backfillRunTime(class int) (ms float64) {
 	for i, slots := range p.sizes {
-		if i > 0 && slots >= p.config.Large {
+		if i > 0 && slots >= p.config.LargeSlots {
 			break
 		}
 		learned := p.runTimes.find(class, i)
@@ -131,7 +131,7 @@
 // takes effect.
 func (p *Planner) release(now float64, r *reservation, reason Reason) {
 	t := r.target
-	p.Counts.LetGo[reason]++
+	p.Counts.Released[reason]++
 	p.reservedSlots -= r.slots
 	p.lastReservedAt = now
 	if f := r.flow; f != nil {
--- a/internal/room/governor.go
+++ b/internal/backfill/scale.go
@@ -1,4 +1,4 @@
-package room
+package backfill
 
 import (
 	"cmp"
@@ -18,14 +18,14 @@
 // unserved anyway. It also reduces the share if large flows fare no better with reservations than
 // without.
 func (p *Planner) adjustScale() {
-	if p.unservedShare <= p.config.SmallDrop {
+	if p.unservedShare <= p.config.MaxSmallUnserved {
 		p.trials, p.scale = false, min(1, p.scale+scaleIncrement)
 		return
 	}
 	if !p.trials {
 		p.trials, p.smallUnserved, p.largeUnserved = true, [3]decayingShare{}, [3]decayingShare{}
 	}
-	if p.unservedShare > maxDropRatio*p.config.SmallDrop {
+	if p.unservedShare > maxDropRatio*p.config.MaxSmallUnserved {
 		p.scale = max(minScale, p.scale*shrinkFactor)
 		return
 	}
@@ -36,9 +36,9 @@
 	noBenefit := p.largeUnserved[0].samples >= minLargeSamples && p.largeUnserved[1].samples >= minLargeSamples && p.largeUnserved[0].share >= p.largeUnserved[1].share
 	// Reservations show in the unserved flows only after a delay, so the scale falls well before the
 	// cost reaches the limit.
-	if cost > 0.6*p.config.SmallDrop || noBenefit {
+	if cost > 0.6*p.config.MaxSmallUnserved || noBenefit {
 		p.scale = max(minScale, p.scale*shrinkFactor)
-	} else if cost < 0.3*p.config.SmallDrop {
+	} else if cost < 0.3*p.config.MaxSmallUnserved {
 		p.scale = min(1, p.scale+scaleIncrement/2)
 	}
 }
@@ -140,11 +140,11 @@
 func (p *Planner) LogValue() slog.Value {
 	c := &p.Counts
 	withReservations, withoutReservations, trialsActive := p.Trials()
-	attrs := []slog.Attr{slog.Int("held", c.Held), slog.Int("moved", c.Moved), slog.Int("now", len(p.reservations)), slog.Int("gaps", c.Gaps), slog.Int("wrong", c.Wrong),
+	attrs := []slog.Attr{slog.Int("held", c.Reserved), slog.Int("moved", c.Moved), slog.Int("now", len(p.reservations)), slog.Int("gaps", c.Backfilled), slog.Int("wrong", c.BackfilledLate),
 		slog.Int("too_large", c.TooLarge), slog.Int("untenable", c.NoUsefulStart), slog.Int("refused", c.Refused), slog.Int("bounded", c.OverLimit),
 		slog.Float64("scale", round(p.scale)), slog.Float64("drop", round(p.unservedShare)), slog.Bool("doubt", trialsActive),
 		slog.Float64("unserved_held", round(withReservations)), slog.Float64("unserved_without", round(withoutReservations)), slog.Float64("quantile", round(p.backfillQuantile))}
-	for reason, n := range c.LetGo {
+	for reason, n := range c.Released {
 		if n > 0 {
 			attrs = append(attrs, slog.Int(Reason(reason).String(), n))
 		}
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -117,8 +117,8 @@
 	return a
 }
 
-// RingsAt reports whether an alarm is set for the given time and has not been signalled yet.
-func (m *Manual) RingsAt(at float64) bool {
+// IsSetFor reports whether an alarm is set for the given time and has not been signalled yet.
+func (m *Manual) IsSetFor(at float64) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return slices.ContainsFunc(m.alarms, func(a *manualAlarm) bool { return a.at == at })
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -17,14 +17,14 @@
 	c := NewManual(100)
 	a, past := c.NewAlarm(), c.NewAlarm()
 	a.Set(150)
-	require.True(t, c.RingsAt(150))
+	require.True(t, c.IsSetFor(150))
 	past.Set(50)
 	<-past.C() // set to a time in the past
 	c.Advance(49)
 	require.Empty(t, a.C())
 	c.Advance(1)
 	<-a.C()
-	require.False(t, c.RingsAt(150))
+	require.False(t, c.IsSetFor(150))
 	c.Advance(100)
 	require.Empty(t, a.C(), "an alarm signals once")
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -40,10 +40,10 @@
 	RawSettings map[string]any `json:"settings"`
 
 	Settings balance.Settings `json:"-"`
-	// Pushed reports that discovery is an agent on this machine to which lists are pushed. A list that the agent has
+	// ListsPushed reports that discovery is an agent on this machine to which lists are pushed. A list that the agent has
 	// received counts as delivered, whether or not the scheduler has read it.
-	Pushed bool   `json:"-"`
-	Seed   uint64 `json:"-"`
+	ListsPushed bool   `json:"-"`
+	Seed        uint64 `json:"-"`
 }
 
 // Load reads the configuration file at path. The environment variables RELAY_NAME, RELAY_LISTEN,
@@ -71,9 +71,9 @@
 	return cfg, nil
 }
 
-// Discovery reads the file again and returns its discovery address. It ignores the environment,
+// ReadDiscoveryAddress reads the file again and returns its discovery address. It ignores the environment,
 // which was set at the start and is therefore older than the file.
-func Discovery(path string) (string, error) {
+func ReadDiscoveryAddress(path string) (string, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return "", fmt.Errorf("configuration: %w", err)
@@ -113,11 +113,11 @@
 	}
 	// On real sockets lists always arrive on a watch that the scheduler opens. The setting only decides whether that
 	// watch is at discovery or at the agent.
-	cfg.Pushed, cfg.Settings.Subscribe = !cfg.Settings.Subscribe, true
-	if cfg.Pushed {
+	cfg.ListsPushed, cfg.Settings.Subscribe = !cfg.Settings.Subscribe, true
+	if cfg.ListsPushed {
 		// The agent is on this machine, so a request costs nothing. It holds requests while it is silent and responds
 		// when it returns, and from then on its list counts as delivered. So the time between two requests is minimal.
-		cfg.Settings.AskWithin = 0
+		cfg.Settings.MaxQueryInterval = 0
 	}
 	return cfg, nil
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -24,7 +24,7 @@
 	s := loadTestConfig(t).Settings
 	require.Equal(t, 5*time.Millisecond, s.Tick)
 	require.True(t, s.ReportsFree, "a space in a value becomes an underscore, as on the wire")
-	require.True(t, s.TellsStart && s.Subscribe && s.Cancel)
+	require.True(t, s.ReportsStart && s.Subscribe && s.Cancel)
 	require.Equal(t, 7500*time.Millisecond, s.Classes[1].Window)
 	require.Equal(t, balance.ScopeCell, s.Classes[1].Scope)
 	require.Equal(t, 2.5, s.Classes[1].Stretch)
@@ -33,13 +33,13 @@
 // Failure: at a site whose lists are pushed, the settings disable subscriptions, so the scheduler never opened a watch and
 // never learned of drains. On real sockets the scheduler must open a watch at the agent, too.
 func TestListsAreWatchedAlsoWhereTheyArePushed(t *testing.T) {
-	require.False(t, loadTestConfig(t).Pushed)
+	require.False(t, loadTestConfig(t).ListsPushed)
 	data, err := os.ReadFile("../../cmd/cottonwell/testdata/config.json")
 	require.NoError(t, err)
 	cfg, err := Parse([]byte(strings.NewReplacer("TARGETS", "", `"registry-mode":"subscribe"`, `"registry-mode":"automatic"`).Replace(string(data))))
 	require.NoError(t, err)
-	require.True(t, cfg.Pushed && cfg.Settings.Subscribe)
-	require.Zero(t, cfg.Settings.AskWithin, "the time between two requests to the agent is minimal")
+	require.True(t, cfg.ListsPushed && cfg.Settings.Subscribe)
+	require.Zero(t, cfg.Settings.MaxQueryInterval, "the time between two requests to the agent is minimal")
 }
 
 func TestFlatten(t *testing.T) {
@@ -74,7 +74,7 @@
 	require.NoError(t, os.WriteFile(path, []byte("[fleet.rules]\nfile = 'rules.toml'\n"), 0o600))
 	operator, err = LoadOperator(path, &settings)
 	require.NoError(t, err)
-	require.Equal(t, 2, *operator.Fleet.Plan(&settings, []string{"a"}, 1).Rules.First.Classes["purchase"].Attempts)
+	require.Equal(t, 2, *operator.Fleet.MachineConfig(&settings, []string{"a"}, 1).Rules.InitialDoc.Classes["purchase"].Attempts)
 	for text, want := range map[string]string{
 		"[class.dance]\nattempts = 2":    "class.dance: the settings have no such class",
 		"[class.purchase]\nattempts = 9": "the settings allow 3",
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -12,7 +12,7 @@
 	"cottonwell/internal/fleet/lease"
 	"cottonwell/internal/fleet/members"
 	"cottonwell/internal/fleet/rules"
-	"cottonwell/internal/fleet/shares"
+	"cottonwell/internal/fleet/usage"
 	"cottonwell/internal/units"
 )
 
@@ -77,15 +77,15 @@
 // newConfig returns the configuration of the rules agreement among that number of schedulers.
 func (r *Rules) newConfig(s *balance.Settings, schedulers int, leaseConfig *lease.Config) *rules.Config {
 	cfg := rules.Default()
-	cfg.Self, cfg.Fleet, cfg.Life, cfg.Seed, cfg.Drift = s.Self, schedulers, leaseConfig.Life, leaseConfig.Seed, leaseConfig.Drift
-	cfg.First, cfg.Check = r.doc, checkRules(s)
-	if cfg.First == nil { // only LoadOperator reads the document
-		cfg.First = &rules.Doc{}
+	cfg.Self, cfg.Fleet, cfg.RunID, cfg.Seed, cfg.Drift = s.Self, schedulers, leaseConfig.RunID, leaseConfig.Seed, leaseConfig.Drift
+	cfg.InitialDoc, cfg.Check = r.doc, checkRules(s)
+	if cfg.InitialDoc == nil { // only LoadOperator reads the document
+		cfg.InitialDoc = &rules.Doc{}
 	}
 	for _, class := range s.Classes {
 		cfg.Classes = append(cfg.Classes, class.Name)
 	}
-	setTimes(map[*float64]*units.Millis{&cfg.Agree: r.AgreeWithin})
+	setTimes(map[*float64]*units.Millis{&cfg.PermissionTime: r.AgreeWithin})
 	return &cfg
 }
 
@@ -96,13 +96,13 @@
 }
 
 // newConfig returns the configuration of the tenants' shares among that number of schedulers.
-func (a *Accountant) newConfig(s *balance.Settings, schedulers int, life uint32) *shares.Config {
-	cfg := shares.Default()
-	cfg.Self, cfg.Fleet, cfg.Life = s.Self, schedulers, life
+func (a *Accountant) newConfig(s *balance.Settings, schedulers int, life uint32) *usage.Config {
+	cfg := usage.Default()
+	cfg.Self, cfg.Fleet, cfg.RunID = s.Self, schedulers, life
 	for _, t := range s.Tenants {
-		cfg.Tenants = append(cfg.Tenants, shares.Tenant{Name: t.Name, Allowance: t.Allowance})
+		cfg.Tenants = append(cfg.Tenants, usage.Tenant{Name: t.Name, Allowance: t.Allowance})
 	}
-	setTimes(map[*float64]*units.Millis{&cfg.Every: a.Interval, &cfg.Lasts: a.ValidFor})
+	setTimes(map[*float64]*units.Millis{&cfg.Interval: a.Interval, &cfg.ValidFor: a.ValidFor})
 	return &cfg
 }
 
@@ -130,11 +130,11 @@
 	cfg := health.Default()
 	cfg.Self, cfg.Fleet = self, schedulers
 	if e.Reporters != nil {
-		cfg.Tellers = *e.Reporters
+		cfg.Reporters = *e.Reporters
 	}
-	setTimes(map[*float64]*units.Millis{&cfg.Window: e.Window, &cfg.Lasts: e.ValidFor, &cfg.Every: e.Interval})
+	setTimes(map[*float64]*units.Millis{&cfg.Window: e.Window, &cfg.ValidFor: e.ValidFor, &cfg.Interval: e.Interval})
 	if e.MaxShare != nil {
-		cfg.Most = float64(*e.MaxShare)
+		cfg.MaxUnhealthyShare = float64(*e.MaxShare)
 	}
 	return &cfg
 }
@@ -145,24 +145,24 @@
 	Zone string `toml:"zone,omitempty"`
 }
 
-// Plan returns the configuration of the fleet's state machine, for schedulers with the given addresses.
-func (f *Fleet) Plan(s *balance.Settings, peers []string, seed uint64) fleet.Config {
+// MachineConfig returns the configuration of the fleet's state machine, for schedulers with the given addresses.
+func (f *Fleet) MachineConfig(s *balance.Settings, peers []string, seed uint64) fleet.Config {
 	self := s.Self
 	cfg := fleet.Config{Members: members.Default(), Lease: lease.Default(), Addresses: peers}
 	cfg.Members.Self, cfg.Members.Fleet, cfg.Members.Seed = self, len(peers), seed
 	lifeHash := fnv.New32a()
 	fmt.Fprintf(lifeHash, "life %d", seed) // the seed differs at each start
-	cfg.Lease.Self, cfg.Lease.Fleet, cfg.Lease.Seed, cfg.Lease.Life = self, len(peers), seed, lifeHash.Sum32()
+	cfg.Lease.Self, cfg.Lease.Fleet, cfg.Lease.Seed, cfg.Lease.RunID = self, len(peers), seed, lifeHash.Sum32()
 	cfg.Lease.Voters = min(cfg.Lease.Voters, max(1, len(peers)))
 	if f.Voters != nil {
 		cfg.Lease.Voters = *f.Voters
 	}
-	setTimes(map[*float64]*units.Millis{&cfg.Lease.Lease: f.Lease, &cfg.Lease.Quiet: f.Quiet, &cfg.Members.Period: f.Period, &cfg.Members.AnswerIn: f.ResponseTimeout})
+	setTimes(map[*float64]*units.Millis{&cfg.Lease.Lease: f.Lease, &cfg.Lease.Quiet: f.Quiet, &cfg.Members.Period: f.Period, &cfg.Members.PingTimeout: f.ResponseTimeout})
 	if f.Quiet == nil {
 		cfg.Lease.Quiet = 1.25 * cfg.Lease.Lease
 	}
 	if f.ResponseTimeout == nil {
-		cfg.Members.AnswerIn = min(cfg.Members.AnswerIn, 0.3*cfg.Members.Period)
+		cfg.Members.PingTimeout = min(cfg.Members.PingTimeout, 0.3*cfg.Members.Period)
 	}
 	if f.Drift != nil {
 		cfg.Lease.Drift = float64(*f.Drift)
@@ -180,8 +180,8 @@
 		requireDuty(health.Duty)
 	}
 	if f.Accountant != nil {
-		cfg.Shares = f.Accountant.newConfig(s, len(peers), cfg.Lease.Life)
-		requireDuty(shares.Duty)
+		cfg.Shares = f.Accountant.newConfig(s, len(peers), cfg.Lease.RunID)
+		requireDuty(usage.Duty)
 	}
 	if f.Rules != nil {
 		cfg.Rules = f.Rules.newConfig(s, len(peers), &cfg.Lease)
@@ -199,7 +199,7 @@
 			return err
 		}
 	}
-	cfg := f.Plan(s, make([]string, max(1, s.Fleet)), 0)
+	cfg := f.MachineConfig(s, make([]string, max(1, s.Fleet)), 0)
 	if err := cfg.Check(); err != nil {
 		return fmt.Errorf("fleet: %w", err)
 	}
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -8,25 +8,25 @@
 	"strings"
 
 	"cottonwell/balance"
+	"cottonwell/internal/backfill"
 	"cottonwell/internal/clock"
 	"cottonwell/internal/gearman"
-	"cottonwell/internal/room"
 	"cottonwell/internal/tomlfile"
 )
 
 // Operator is the content of the operator's file.
 type Operator struct {
-	Gearman *gearman.Config `toml:"gearman"` // nil if the Gearman front is disabled
-	Room    *Room           `toml:"room"`    // nil if nothing is reserved for large jobs
-	Fleet   *Fleet          `toml:"fleet"`   // nil if there is no membership and there are no duties
+	Gearman      *gearman.Config `toml:"gearman"` // nil if the Gearman front is disabled
+	Reservations *Reservations   `toml:"room"`    // nil if nothing is reserved for large jobs
+	Fleet        *Fleet          `toml:"fleet"`   // nil if there is no membership and there are no duties
 }
 
-// Plan returns the planner's configuration, or nil if it is disabled.
-func (o *Operator) Plan() *room.Config {
-	if o == nil || o.Room == nil {
+// PlannerConfig returns the planner's configuration, or nil if it is disabled.
+func (o *Operator) PlannerConfig() *backfill.Config {
+	if o == nil || o.Reservations == nil {
 		return nil
 	}
-	return o.Room.Plan()
+	return o.Reservations.PlannerConfig()
 }
 
 // LoadOperator reads the operator's file and checks it against the settings. If path is empty it
@@ -60,8 +60,8 @@
 // check returns an error if the file is invalid with these settings. It fills in the defaults of
 // the Gearman section.
 func (o *Operator) check(s *balance.Settings) error {
-	if o.Room != nil {
-		if err := o.Room.check(s); err != nil {
+	if o.Reservations != nil {
+		if err := o.Reservations.check(s); err != nil {
 			return err
 		}
 	}
@@ -71,7 +71,7 @@
 		}
 	}
 	gearmanConfig := o.Gearman
-	if gearmanConfig == nil && o.Room == nil && o.Fleet == nil {
+	if gearmanConfig == nil && o.Reservations == nil && o.Fleet == nil {
 		return fmt.Errorf("no section is set: it needs one of [gearman], [room] and [fleet]")
 	}
 	if gearmanConfig == nil {
--- a/internal/config/room.go
+++ b/internal/config/reservations.go
@@ -4,13 +4,13 @@
 	"fmt"
 
 	"cottonwell/balance"
-	"cottonwell/internal/room"
+	"cottonwell/internal/backfill"
 	"cottonwell/internal/units"
 )
 
-// Room is the section [room] of the operator's file. It sets up reservations for large jobs.
+// Reservations is the section [room] of the operator's file. It sets up reservations for large jobs.
 // docs/ROOM.md explains the keys; a key that is left out has its default.
-type Room struct {
+type Reservations struct {
 	Mode        string        `toml:"mode,omitempty"`
 	LargeSlots  *float64      `toml:"large_slots,omitempty"`
 	Share       *units.Share  `toml:"share,omitempty"`
@@ -20,20 +20,20 @@
 	SmallDrop   *units.Share  `toml:"small_drop,omitempty"`
 }
 
-var roomModes = map[string]room.Mode{"": room.Backfill, "backfill": room.Backfill, "no-backfill": room.NoBackfill, "emptying": room.Emptying}
+var roomModes = map[string]backfill.Mode{"": backfill.Backfill, "backfill": backfill.Backfill, "no-backfill": backfill.NoBackfill, "emptying": backfill.Emptying}
 
-// Plan returns the planner's configuration without the classes and the scheduler's number, which
+// PlannerConfig returns the planner's configuration without the classes and the scheduler's number, which
 // come from the settings.
-func (r *Room) Plan() *room.Config {
-	cfg := room.Default()
+func (r *Reservations) PlannerConfig() *backfill.Config {
+	cfg := backfill.Default()
 	cfg.Mode = roomModes[r.Mode]
 	if r.LargeSlots != nil {
-		cfg.Large = *r.LargeSlots
+		cfg.LargeSlots = *r.LargeSlots
 	}
 	if r.MaxDuration != nil {
-		cfg.Longest = float64(*r.MaxDuration)
+		cfg.MaxDuration = float64(*r.MaxDuration)
 	}
-	for dest, share := range map[*float64]*units.Share{&cfg.Share: r.Share, &cfg.TenantShare: r.TenantShare, &cfg.Confidence: r.Confidence, &cfg.SmallDrop: r.SmallDrop} {
+	for dest, share := range map[*float64]*units.Share{&cfg.Share: r.Share, &cfg.TenantShare: r.TenantShare, &cfg.Confidence: r.Confidence, &cfg.MaxSmallUnserved: r.SmallDrop} {
 		if share != nil {
 			*dest = float64(*share)
 		}
@@ -42,11 +42,11 @@
 }
 
 // check returns an error if the section is invalid with these settings.
-func (r *Room) check(s *balance.Settings) error {
+func (r *Reservations) check(s *balance.Settings) error {
 	if _, ok := roomModes[r.Mode]; !ok {
 		return fmt.Errorf("room.mode is %q, and may be backfill, no-backfill or emptying", r.Mode)
 	}
-	cfg := r.Plan()
+	cfg := r.PlannerConfig()
 	cfg.Self, cfg.Fleet = s.Self, s.Fleet
 	for _, class := range s.Classes {
 		cfg.Classes = append(cfg.Classes, class.Name)
--- a/internal/core/takein.go
+++ b/internal/core/accept.go
@@ -29,15 +29,15 @@
 	req  *Request
 }
 
-// TakeIn accepts a request from a listener. From now on the core is responsible for its response, and for releasing its
+// Accept accepts a request from a listener. From now on the core is responsible for its response, and for releasing its
 // body if there is one.
-func (c *Core) TakeIn(r *Request) Ticket {
+func (c *Core) Accept(r *Request) Ticket {
 	c.post(acceptEvent{r, c.clock.Now()})
 	return Ticket{c, r}
 }
 
-// Left reports that the client left before its final response.
-func (t Ticket) Left() { t.core.post(clientLeftEvent{t.req}) }
+// ClientLeft reports that the client left before its final response.
+func (t Ticket) ClientLeft() { t.core.post(clientLeftEvent{t.req}) }
 
 type acceptEvent struct {
 	request *Request
@@ -45,9 +45,9 @@
 }
 
 func (e acceptEvent) apply(c *Core) {
-	c.stats.Taken++
+	c.stats.Accepted++
 	c.lastFlow++
-	f := &flow{Request: *e.request, number: c.lastFlow, deadline: e.at + e.request.Patience, outstanding: -1}
+	f := &flow{Request: *e.request, number: c.lastFlow, deadline: e.at + e.request.ClientTimeoutMS, outstanding: -1}
 	c.admit(f)
 }
 
@@ -55,10 +55,10 @@
 
 func (e clientLeftEvent) apply(c *Core) {
 	f := c.flowsByID[e.request.ID]
-	if f == nil || f.answered || f.From != e.request.From {
+	if f == nil || f.answered || f.Receiver != e.request.Receiver {
 		return // the final response was sent before this event was handled
 	}
-	c.stats.Left++
+	c.stats.ClientsLeft++
 	c.trace.clientLeft(f)
 	c.closeForClient(f)
 	c.enqueue(balance.Event{Kind: balance.Departed, Request: f.number})
@@ -67,6 +67,6 @@
 	// because its connection is still being established, is withdrawn in any case.
 	if f.outstanding >= 0 && !f.attempts[f.outstanding].cancelling {
 		a := &f.attempts[f.outstanding]
-		a.transport.Cancel(Attempt{Ref: Ref{f.number, f.outstanding}, ID: f.ID, Class: f.Class, Target: a.target, Unsent: true})
+		a.transport.Cancel(Attempt{AttemptRef: AttemptRef{f.number, f.outstanding}, ID: f.ID, Class: f.Class, Target: a.target, OnlyIfUnsent: true})
 	}
 }
--- a/internal/core/admit.go
+++ b/internal/core/admit.go
@@ -12,35 +12,35 @@
 	case c.flowsByID[f.ID] != nil:
 		// Callbacks of targets could not be assigned to one of two flows with the same id, and a target could hold two
 		// attempts of one request. The first flow keeps the id.
-		c.stats.Twice++
-		c.reject(f, Answer{Kind: Failed, Reason: idInUse})
+		c.stats.DuplicateID++
+		c.reject(f, Response{Kind: Failed, Reason: idInUse})
 		return
 	case c.shuttingDown:
 		c.stats.Refused++
-		c.reject(f, Answer{Kind: Refused, RetryAfter: c.cfg.ComeBack, Reason: shutdownReason})
+		c.reject(f, Response{Kind: Refused, RetryAfter: c.cfg.RetryAfterMS, Reason: shutdownReason})
 		return
 	case c.cfg.MaxOpen > 0 && c.openFlows >= c.cfg.MaxOpen:
-		c.stats.Full++
+		c.stats.TooManyOpen++
 		c.stats.Refused++
-		c.reject(f, Answer{Kind: Refused, RetryAfter: c.cfg.ComeBack, Reason: tooManyOpen})
+		c.reject(f, Response{Kind: Refused, RetryAfter: c.cfg.RetryAfterMS, Reason: tooManyOpen})
 		return
 	}
-	if c.cfg.Asked != nil && c.isFirstTry(f) {
-		c.cfg.Asked(f.Tenant)
+	if c.cfg.CountRequest != nil && c.isFirstTry(f) {
+		c.cfg.CountRequest(f.Tenant)
 	}
 	c.flows[f.number], c.flowsByID[f.ID] = f, f
 	c.openFlows++
 	// The decision module normally decides before the deadline. This timer is for a fault of the module.
-	c.timers.add(timer{at: f.deadline + clock.Millis(c.cfg.Settings.AnswerSlack)/2, kind: flowTimer, id: f.number})
+	c.timers.add(timer{at: f.deadline + clock.Millis(c.cfg.Settings.ResponseSlack)/2, kind: flowTimer, id: f.number})
 	c.enqueue(balance.Event{Kind: balance.Arrived, Request: f.number, Class: f.Class, Key: f.Subject,
-		Budget: clock.Duration(f.deadline - c.clock.Now()), Hint: clock.Duration(f.Hint), Slots: f.Slots, Memory: f.Memory, Tenant: f.Tenant, Repeat: f.Repeat,
-		First: f.First, Priority: f.Job.Priority})
+		Budget: clock.Duration(f.deadline - c.clock.Now()), Hint: clock.Duration(f.ExpectedWorkMS), Slots: f.Slots, Memory: f.Memory, Tenant: f.Tenant, Repeat: f.MarkedRetry,
+		First: f.FirstTry, Priority: f.Job.Priority})
 }
 
 // reject gives a flow that is not admitted its final response.
-func (c *Core) reject(f *flow, response Answer) {
+func (c *Core) reject(f *flow, response Response) {
 	c.trace.requestCompleted(f, &response)
-	f.From.Answer(response)
+	f.Receiver.Respond(response)
 	c.releaseBody(f)
 }
 
@@ -49,7 +49,7 @@
 func (c *Core) isFirstTry(f *flow) bool {
 	longest, known := c.longestTimeout[f.Class]
 	if known {
-		c.longestTimeout[f.Class] = max(longest, f.Patience)
+		c.longestTimeout[f.Class] = max(longest, f.ClientTimeoutMS)
 	}
-	return f.First || known && !f.Repeat && f.Patience >= 0.98*longest
+	return f.FirstTry || known && !f.MarkedRetry && f.ClientTimeoutMS >= 0.98*longest
 }
--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -19,8 +19,8 @@
 func (q *nullTransport) Start(a Attempt)   { q.started = append(q.started, a) }
 func (q *nullTransport) Cancel(Attempt)    {}
 func (q *nullTransport) Probe(string)      {}
-func (q *nullTransport) Listed(Group)      {}
-func (q *nullTransport) Answer(Answer)     {}
+func (q *nullTransport) Listed(TargetList) {}
+func (q *nullTransport) Respond(Response)  {}
 func (q *nullTransport) Progress(Progress) {}
 
 // BenchmarkRequest measures the cost of one request with its start and its end, by the number of targets and of schedulers.
@@ -30,15 +30,15 @@
 		for _, peers := range []int{2, 300, 1000} {
 			b.Run(fmt.Sprintf("targets=%d/peers=%d", targets, peers), func(b *testing.B) {
 				clk, q := clock.NewManual(1.7e12), &nullTransport{}
-				s := balance.Settings{Fleet: peers, Zone: "a", Tick: 5 * time.Millisecond, MaxAttempts: 3, TellsStart: true, Cancel: true, Peers: true,
-					AnswerSlack: 20 * time.Millisecond, ColdFrom: 0.3, ColdFor: 10 * time.Second, FallMultiple: 3, FallWindow: time.Second,
-					Classes: []balance.Class{{Name: "c", Aim: 200 * time.Millisecond, Stretch: 2, Deadline: 5 * time.Second, Worth: 1}}}
+				s := balance.Settings{Fleet: peers, Zone: "a", Tick: 5 * time.Millisecond, MaxAttempts: 3, ReportsStart: true, Cancel: true, Peers: true,
+					ResponseSlack: 20 * time.Millisecond, ColdFrom: 0.3, ColdFor: 10 * time.Second, CollapseMultiple: 3, CollapseWindow: time.Second,
+					Classes: []balance.Class{{Name: "c", LatencyTarget: 200 * time.Millisecond, Stretch: 2, Deadline: 5 * time.Second, Value: 1}}}
 				c, err := New(Config{Settings: s, Seed: 1, Clock: clk, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Invariants: invariant.New(),
-					ComeBack: 1000, Tell: func([]int, string) {}}, Source{Name: "test", Transport: q})
+					RetryAfterMS: 1000, SendToPeers: func([]int, string) {}}, Source{Name: "test", Transport: q})
 				if err != nil {
 					b.Fatal(err)
 				}
-				g := Group{Scope: balance.FromDisk}
+				g := TargetList{Scope: balance.FromDisk}
 				for i := range targets {
 					g.Targets = append(g.Targets, Target{Member: balance.Member{ID: fmt.Sprintf("s-%08x", i*2654435761), Zone: "a", Cell: "1"}})
 				}
@@ -55,14 +55,14 @@
 						c.route()
 					}
 					id := strconv.Itoa(n)
-					do(acceptEvent{&Request{ID: id, Class: "c", Patience: 5000, Slots: 1, From: q}, clk.Now()})
+					do(acceptEvent{&Request{ID: id, Class: "c", ClientTimeoutMS: 5000, Slots: 1, Receiver: q}, clk.Now()})
 					if len(q.started) != 1 {
 						b.Fatal("no attempt was started")
 					}
 					at := q.started[0]
 					q.started = q.started[:0]
-					do(targetUpdateEvent{TargetNews{ID: id, From: at.Target, Progress: &Progress{Started: true}}})
-					do(targetUpdateEvent{TargetNews{ID: id, From: at.Target, Result: balance.OK, Body: "x", Report: balance.Report{Present: true, InFlight: 1, Free: 3}}})
+					do(targetUpdateEvent{TargetCallback{ID: id, From: at.Target, Progress: &Progress{Started: true}}})
+					do(targetUpdateEvent{TargetCallback{ID: id, From: at.Target, Result: balance.OK, Body: "x", Report: balance.Report{Present: true, InFlight: 1, Free: 3}}})
 				}
 			})
 		}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -6,11 +6,11 @@
 	"log/slog"
 
 	"cottonwell/balance"
+	"cottonwell/internal/backfill"
 	"cottonwell/internal/clock"
-	"cottonwell/internal/decide"
+	"cottonwell/internal/decision"
 	"cottonwell/internal/gossip"
 	"cottonwell/internal/invariant"
-	"cottonwell/internal/room"
 )
 
 // Config configures a Core. The functions in it are called from the core's goroutine and must not block.
@@ -20,36 +20,36 @@
 	Clock      clock.Clock
 	Log        *slog.Logger
 	Invariants *invariant.Set
-	// ComeBack is the retry-after of a refusal for which the decision module sets none, in milliseconds.
-	ComeBack float64
+	// RetryAfterMS is the retry-after of a refusal for which the decision module sets none, in milliseconds.
+	RetryAfterMS float64
 	// MaxOpen is the maximum number of flows without a final response; 0: unlimited.
 	MaxOpen int
-	// Tell sends a message to the schedulers of the given numbers (nil: all others). It is nil if schedulers exchange no
+	// SendToPeers sends a message to the schedulers of the given numbers (nil: all others). It is nil if schedulers exchange no
 	// messages.
-	Tell func(to []int, raw string)
-	// Room configures the reservation planner; nil if disabled.
-	Room *room.Config
-	// Doubt, Probed and Listed report to the fleet's examiner of targets: the targets that this scheduler suspects and no
+	SendToPeers func(to []int, raw string)
+	// Planner configures the reservation planner; nil if disabled.
+	Planner *backfill.Config
+	// ReportSuspicion, Probed and Listed report to the fleet's examiner of targets: the targets that this scheduler suspects and no
 	// longer selects, the results of probes, and the listed targets. They are nil if disabled.
-	Doubt  func(target string, failing bool)
-	Probed func(target string, answered bool)
-	Listed func(targets []Target)
-	// Asked counts a request of a tenant for the fleet-wide total. It is not called for retries of a client. It is nil if
+	ReportSuspicion func(target string, failing bool)
+	ReportProbe     func(target string, answered bool)
+	ReportTargets   func(targets []Target)
+	// CountRequest counts a request of a tenant for the fleet-wide total. It is not called for retries of a client. It is nil if
 	// disabled.
-	Asked func(tenant string)
+	CountRequest func(tenant string)
 	// ListLease is how long a list is used after its source last confirmed it, in milliseconds; 0: without limit. It
 	// applies to the source that has a Watch.
 	ListLease float64
 	// UnwatchedLease replaces ListLease while no watch is open, in milliseconds; 0: the same as ListLease.
 	UnwatchedLease float64
-	// MovedLease limits how long the list is used after the address of the source changed and before the new address
+	// AddressChangeLease limits how long the list is used after the address of the source changed and before the new address
 	// confirms it, in milliseconds; 0: a change of address does not shorten the lease.
-	MovedLease float64
-	// Stray receives callbacks about jobs that this process does not know, to be forwarded to another process of this
+	AddressChangeLease float64
+	// ForwardUnmatched receives callbacks about jobs that this process does not know, to be forwarded to another process of this
 	// scheduler. It is nil if there is no such process.
-	Stray func(TargetNews)
-	// Known is the last stored list of each source. It is loaded before Run handles any other event.
-	Known map[string]Group
+	ForwardUnmatched func(TargetCallback)
+	// StoredLists is the last stored list of each source. It is loaded before Run handles any other event.
+	StoredLists map[string]TargetList
 }
 
 // Core runs the flows of one scheduler.
@@ -58,7 +58,7 @@
 	log        *slog.Logger
 	clock      clock.Clock
 	invariants *invariant.Set
-	module     *decide.Decider
+	module     *decision.Decider
 	sources    map[string]*source
 	events     chan event
 	done       chan struct{} // closed when Run returns
@@ -73,7 +73,7 @@
 	timers         timers
 	pendingEvents  []balance.Event // not yet passed to the decision module, in order
 	actions        []balance.Action
-	stats          Books
+	stats          Stats
 	trace          trace
 	idleWaiters    []chan struct{}    // each is closed once no flow is open
 	longestTimeout map[string]float64 // longest client timeout seen, in milliseconds, by class
@@ -96,15 +96,15 @@
 
 // New returns a core that is not running yet, or an error if the settings are invalid.
 func New(cfg Config, sources ...Source) (*Core, error) {
-	module, err := decide.New(cfg.Settings, cfg.Seed, cfg.Room)
+	module, err := decision.New(cfg.Settings, cfg.Seed, cfg.Planner)
 	if err != nil {
 		return nil, fmt.Errorf("decision module: %w", err)
 	}
 	c := &Core{cfg: cfg, log: cfg.Log, clock: cfg.Clock, invariants: cfg.Invariants, module: module,
 		sources: map[string]*source{}, events: make(chan event, 1024), done: make(chan struct{}),
 		flows: map[uint64]*flow{}, flowsByID: map[string]*flow{}, sourceByTarget: map[string]*source{}, offline: map[string]bool{},
-		listReady: make(chan struct{}), stats: Books{Dropped: map[string]int{}}, trace: newTrace(cfg.Log), longestTimeout: map[string]float64{},
-		classes: map[string]*balance.Class{}, activeRules: activeRules{rules: Rules{Cold: 1}}}
+		listReady: make(chan struct{}), stats: Stats{Dropped: map[string]int{}}, trace: newTrace(cfg.Log), longestTimeout: map[string]float64{},
+		classes: map[string]*balance.Class{}, activeRules: activeRules{rules: Rules{ColdFactor: 1}}}
 	for i := range cfg.Settings.Classes {
 		class := &cfg.Settings.Classes[i]
 		c.longestTimeout[class.Name], c.classes[class.Name] = 0, class
@@ -131,7 +131,7 @@
 	defer close(c.done)
 	alarm := c.clock.NewAlarm()
 	defer alarm.Stop()
-	for name, g := range c.cfg.Known {
+	for name, g := range c.cfg.StoredLists {
 		g.Scope = balance.FromDisk
 		listEvent{name, g}.apply(c)
 		c.route()
@@ -154,9 +154,9 @@
 	}
 }
 
-// Fresh returns a channel that is closed once the list may be used: when discovery, or another scheduler that forwards its
+// ListReady returns a channel that is closed once the list may be used: when discovery, or another scheduler that forwards its
 // confirmation, has confirmed it. Without a lease it is closed from the start.
-func (c *Core) Fresh() <-chan struct{} { return c.listReady }
+func (c *Core) ListReady() <-chan struct{} { return c.listReady }
 
 // Idle returns a channel that is closed once no flow is open.
 func (c *Core) Idle() <-chan struct{} {
@@ -175,12 +175,12 @@
 	c.idleWaiters = append(c.idleWaiters, e.done)
 }
 
-// List passes a list of targets, or changes to it, from the named source.
-func (c *Core) List(sourceName string, g Group) { c.post(listEvent{sourceName, g}) }
+// UpdateTargets passes a list of targets, or changes to it, from the named source.
+func (c *Core) UpdateTargets(sourceName string, g TargetList) { c.post(listEvent{sourceName, g}) }
 
 type listEvent struct {
 	source string
-	group  Group
+	group  TargetList
 }
 
 func (e listEvent) apply(c *Core) {
@@ -189,9 +189,9 @@
 		c.countDropped("list from an unknown source")
 		return
 	}
-	if e.group.Scope == balance.AskFailed {
+	if e.group.Scope == balance.RequestFailed {
 		c.stats.ListFailures++
-		c.enqueue(balance.Event{Kind: balance.Listed, List: balance.AskFailed})
+		c.enqueue(balance.Event{Kind: balance.Listed, List: balance.RequestFailed})
 		c.watchLost(s)
 		return
 	}
@@ -232,17 +232,17 @@
 	s.Transport.Listed(c.applyMaintenance(e.group))
 	c.enqueue(ev)
 	c.afterLeaseEvent(s, changed)
-	if c.cfg.Listed != nil {
+	if c.cfg.ReportTargets != nil {
 		all := make([]Target, 0, len(c.sourceByTarget))
 		for id, s := range c.sourceByTarget {
 			all = append(all, s.targets[id])
 		}
-		c.cfg.Listed(all)
+		c.cfg.ReportTargets(all)
 	}
 }
 
-// Heard passes a message that was received from another scheduler, identified by its number in the settings.
-func (c *Core) Heard(sender int, raw string) { c.post(peerMessageEvent{sender, raw}) }
+// ReceivePeerMessage passes a message that was received from another scheduler, identified by its number in the settings.
+func (c *Core) ReceivePeerMessage(sender int, raw string) { c.post(peerMessageEvent{sender, raw}) }
 
 type peerMessageEvent struct {
 	sender int
@@ -250,11 +250,11 @@
 }
 
 func (e peerMessageEvent) apply(c *Core) {
-	if gossip.IsAboutLists(e.raw) {
+	if gossip.IsListMessage(e.raw) {
 		c.receiveListMessage(e.sender, e.raw)
 		return
 	}
-	c.enqueue(balance.Event{Kind: balance.PeerSpoke, Who: e.sender, Raw: e.raw})
+	c.enqueue(balance.Event{Kind: balance.PeerLoads, Peer: e.sender, Raw: e.raw})
 }
 
 // ProbeEnded passes the result of a probe.
@@ -267,13 +267,13 @@
 	c.enqueue(balance.Event{Kind: balance.Probed, Worker: e.result.Target, Result: e.result.Result,
 		Elapsed: clock.Duration(e.result.Elapsed), Report: e.result.Report})
 	c.updateLeaseProbe(e.result)
-	if c.cfg.Probed != nil {
-		c.cfg.Probed(e.result.Target, e.result.Result != balance.NoConnection && e.result.Result != balance.TimedOut)
+	if c.cfg.ReportProbe != nil {
+		c.cfg.ReportProbe(e.result.Target, e.result.Result != balance.NoConnection && e.result.Result != balance.TimedOut)
 	}
 }
 
-// Examine probes a target for the fleet's examiner. A target that is no longer listed is not probed.
-func (c *Core) Examine(target string) { c.post(examineEvent(target)) }
+// Probe probes a target for the fleet's examiner. A target that is no longer listed is not probed.
+func (c *Core) Probe(target string) { c.post(examineEvent(target)) }
 
 type examineEvent string
 
@@ -291,9 +291,9 @@
 	return s != nil
 }
 
-// Judge passes the examiner's verdict on a target for the whole fleet: nothing is sent to the target for a duration in
+// ApplyVerdict passes the examiner's verdict on a target for the whole fleet: nothing is sent to the target for a duration in
 // milliseconds, or it may be used again (0).
-func (c *Core) Judge(target string, duration float64) { c.post(verdictEvent{target, duration}) }
+func (c *Core) ApplyVerdict(target string, duration float64) { c.post(verdictEvent{target, duration}) }
 
 type verdictEvent struct {
 	target   string
@@ -301,12 +301,12 @@
 }
 
 func (e verdictEvent) apply(c *Core) {
-	c.enqueue(balance.Event{Kind: balance.Judged, Worker: e.target, Elapsed: clock.Duration(e.duration)})
+	c.enqueue(balance.Event{Kind: balance.WorkerEjected, Worker: e.target, Elapsed: clock.Duration(e.duration)})
 }
 
-// Share passes the part of each tenant's requests that is within its share. The parts apply for a duration in
+// ApplyShares passes the part of each tenant's requests that is within its share. The parts apply for a duration in
 // milliseconds.
-func (c *Core) Share(parts map[string]float64, duration float64) {
+func (c *Core) ApplyShares(parts map[string]float64, duration float64) {
 	c.post(sharesEvent{parts, duration})
 }
 
@@ -316,5 +316,5 @@
 }
 
 func (e sharesEvent) apply(c *Core) {
-	c.enqueue(balance.Event{Kind: balance.Shared, Parts: e.parts, Elapsed: clock.Duration(e.duration)})
+	c.enqueue(balance.Event{Kind: balance.TenantShares, TenantParts: e.parts, Elapsed: clock.Duration(e.duration)})
 }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -25,31 +25,31 @@
 	core      *Core
 	started   []Attempt
 	cancelled []Attempt
-	answers   []Answer
+	answers   []Response
 	progress  []Progress
 }
 
 func (h *harness) Start(a Attempt)     { h.started = append(h.started, a) }
 func (h *harness) Cancel(a Attempt)    { h.cancelled = append(h.cancelled, a) }
 func (h *harness) Probe(string)        {}
-func (h *harness) Listed(Group)        {}
-func (h *harness) Answer(a Answer)     { h.answers = append(h.answers, a) }
+func (h *harness) Listed(TargetList)   {}
+func (h *harness) Respond(a Response)  { h.answers = append(h.answers, a) }
 func (h *harness) Progress(p Progress) { h.progress = append(h.progress, p) }
 
 func newHarness(t *testing.T, targets int) *harness {
 	h := &harness{t: t, clock: clock.NewManual(1.7e12)}
-	s := balance.Settings{Fleet: 1, Zone: "a", Tick: 5 * time.Millisecond, MaxAttempts: 3, TellsStart: true, Cancel: true,
-		AnswerSlack: 20 * time.Millisecond, ColdFrom: 0.3, ColdFor: 10 * time.Second, FallMultiple: 3, FallWindow: time.Second,
-		Classes: []balance.Class{{Name: "c", Aim: 200 * time.Millisecond, Stretch: 2, Deadline: 5 * time.Second, Worth: 1},
-			{Name: "k", Effect: balance.Keyed, Scope: balance.ScopeCell, Window: 7500 * time.Millisecond, Aim: 200 * time.Millisecond,
-				Stretch: 2, Deadline: 5 * time.Second, Worth: 1}}}
-	known := Group{}
+	s := balance.Settings{Fleet: 1, Zone: "a", Tick: 5 * time.Millisecond, MaxAttempts: 3, ReportsStart: true, Cancel: true,
+		ResponseSlack: 20 * time.Millisecond, ColdFrom: 0.3, ColdFor: 10 * time.Second, CollapseMultiple: 3, CollapseWindow: time.Second,
+		Classes: []balance.Class{{Name: "c", LatencyTarget: 200 * time.Millisecond, Stretch: 2, Deadline: 5 * time.Second, Value: 1},
+			{Name: "k", Effect: balance.Keyed, Scope: balance.ScopeCell, Window: 7500 * time.Millisecond, LatencyTarget: 200 * time.Millisecond,
+				Stretch: 2, Deadline: 5 * time.Second, Value: 1}}}
+	known := TargetList{}
 	for i := range targets {
 		known.Targets = append(known.Targets, Target{Member: balance.Member{ID: string(rune('a' + i)), Zone: "a", Cell: string(rune('1' + i))}})
 	}
 	var err error
 	h.core, err = New(Config{Settings: s, Seed: 1, Clock: h.clock, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
-		Invariants: invariant.New(), ComeBack: 1000, MaxOpen: 5}, Source{Name: "test", Transport: h})
+		Invariants: invariant.New(), RetryAfterMS: 1000, MaxOpen: 5}, Source{Name: "test", Transport: h})
 	require.NoError(t, err)
 	known.Scope = balance.FromDisk
 	h.apply(listEvent{"test", known})
@@ -69,17 +69,17 @@
 }
 
 func (h *harness) accept(id, class string) {
-	h.apply(acceptEvent{&Request{ID: id, Class: class, Patience: 5000, Slots: 1, From: h}, h.clock.Now()})
+	h.apply(acceptEvent{&Request{ID: id, Class: class, ClientTimeoutMS: 5000, Slots: 1, Receiver: h}, h.clock.Now()})
 }
 
 func TestOneFinalAnswerAndLateNewsIsDropped(t *testing.T) {
 	h := newHarness(t, 1)
 	h.accept("x", "c")
 	require.Len(t, h.started, 1)
-	h.apply(targetUpdateEvent{TargetNews{ID: "x", From: "a", Result: balance.OK, Body: "first"}})
-	h.apply(targetUpdateEvent{TargetNews{ID: "x", From: "a", Result: balance.OK, Body: "second"}})
-	h.apply(outcomeEvent{Outcome{Ref: h.started[0].Ref, Result: balance.Failed}})
-	require.Equal(t, []Answer{{Kind: Served, Body: "first"}}, h.answers)
+	h.apply(targetUpdateEvent{TargetCallback{ID: "x", From: "a", Result: balance.OK, Body: "first"}})
+	h.apply(targetUpdateEvent{TargetCallback{ID: "x", From: "a", Result: balance.OK, Body: "second"}})
+	h.apply(outcomeEvent{Outcome{AttemptRef: h.started[0].AttemptRef, Result: balance.Failed}})
+	require.Equal(t, []Response{{Kind: Served, Body: "first"}}, h.answers)
 	require.Equal(t, map[string]int{"news of an attempt that is over": 1, "outcome of an attempt that is over": 1}, h.core.stats.Dropped)
 	require.Empty(t, h.core.flows)
 	require.Empty(t, h.core.flowsByID)
@@ -91,7 +91,7 @@
 	h := newHarness(t, 2)
 	h.accept("x", "c")
 	other := map[string]string{"a": "b", "b": "a"}[h.started[0].Target]
-	h.apply(targetUpdateEvent{TargetNews{ID: "x", From: other, Result: balance.OK, Body: "no"}})
+	h.apply(targetUpdateEvent{TargetCallback{ID: "x", From: other, Result: balance.OK, Body: "no"}})
 	require.Empty(t, h.answers)
 }
 
@@ -100,9 +100,9 @@
 	for i := range 300 { // the module learns that jobs are short, so it soon suspects a silent target
 		h.accept(fmt.Sprint(i), "c")
 		a := h.started[len(h.started)-1]
-		h.apply(targetUpdateEvent{TargetNews{ID: a.ID, From: a.Target, Progress: &Progress{Started: true}}})
+		h.apply(targetUpdateEvent{TargetCallback{ID: a.ID, From: a.Target, Progress: &Progress{Started: true}}})
 		h.advance(10)
-		h.apply(targetUpdateEvent{TargetNews{ID: a.ID, From: a.Target, Result: balance.OK}})
+		h.apply(targetUpdateEvent{TargetCallback{ID: a.ID, From: a.Target, Result: balance.OK}})
 	}
 	h.accept("x", "c")
 	startedCount := len(h.started)
@@ -111,7 +111,7 @@
 	}
 	require.Len(t, h.cancelled, 1)
 	require.Len(t, h.started, startedCount, "no further attempt before the cancellation is confirmed")
-	h.apply(outcomeEvent{Outcome{Ref: h.started[startedCount-1].Ref, Result: balance.Cancelled}})
+	h.apply(outcomeEvent{Outcome{AttemptRef: h.started[startedCount-1].AttemptRef, Result: balance.Cancelled}})
 	h.advance(20)
 	require.Len(t, h.started, startedCount+1)
 }
@@ -137,7 +137,7 @@
 	h.core.classes["k"].Effect = balance.Unsafe
 	h.accept("x", "k")
 	f := h.core.flows[1]
-	h.apply(listEvent{"test", Group{Scope: balance.Changes, Targets: []Target{{Member: balance.Member{ID: "a", Zone: "a", Cell: "1"}}}}})
+	h.apply(listEvent{"test", TargetList{Scope: balance.Changes, Targets: []Target{{Member: balance.Member{ID: "a", Zone: "a", Cell: "1"}}}}})
 	h.started, f.attempts, f.outstanding = nil, nil, -1
 	h.clock.Advance(5001)
 	h.core.dispatch(&balance.Action{Kind: balance.Send, Request: 1, Worker: "a"})
@@ -147,7 +147,7 @@
 	require.True(t, math.IsInf(h.core.latestStart(f, 1), 1))
 	h.core.pendingEvents = nil
 	finishEvent{}.apply(h.core)
-	require.Equal(t, []Answer{{Kind: Refused, RetryAfter: 1000, Reason: shutdownReason}}, h.answers)
+	require.Equal(t, []Response{{Kind: Refused, RetryAfter: 1000, Reason: shutdownReason}}, h.answers)
 }
 
 func invariantsPanic() (yes bool) {
@@ -160,16 +160,16 @@
 	h := newHarness(t, 1)
 	h.accept("x", "k")
 	for range 3 {
-		h.apply(outcomeEvent{Outcome{Ref: h.started[len(h.started)-1].Ref, Result: balance.NoConnection}})
+		h.apply(outcomeEvent{Outcome{AttemptRef: h.started[len(h.started)-1].AttemptRef, Result: balance.NoConnection}})
 		h.advance(10)
 	}
-	require.Equal(t, []Answer{{Kind: Refused, RetryAfter: 1000, Reason: balance.AttemptsOver}}, h.answers)
+	require.Equal(t, []Response{{Kind: Refused, RetryAfter: 1000, Reason: balance.AttemptsExhausted}}, h.answers)
 }
 
 func TestKeyedThatMayHaveRunIsNotRefused(t *testing.T) {
 	h := newHarness(t, 2)
 	h.accept("x", "k")
-	h.apply(outcomeEvent{Outcome{Ref: h.started[0].Ref, Result: balance.Reset}})
+	h.apply(outcomeEvent{Outcome{AttemptRef: h.started[0].AttemptRef, Result: balance.Reset}})
 	h.advance(10)
 	for _, a := range h.started {
 		require.Equal(t, h.started[0].Target, a.Target, "sent to another cell")
@@ -182,7 +182,7 @@
 func TestAttemptEndsWithClientTimeout(t *testing.T) {
 	h := newHarness(t, 1)
 	h.accept("x", "c")
-	h.apply(targetUpdateEvent{TargetNews{ID: "x", From: "a", Progress: &Progress{Started: true}}})
+	h.apply(targetUpdateEvent{TargetCallback{ID: "x", From: "a", Progress: &Progress{Started: true}}})
 	h.advance(4995)
 	require.Len(t, h.answers, 1)
 	require.NotEqual(t, Served, h.answers[0].Kind)
@@ -196,17 +196,17 @@
 	body, err := buffer.NewPool().FromBytes([]byte("x"))
 	require.NoError(t, err)
 	h.accept("x", "c")
-	h.apply(acceptEvent{&Request{ID: "x", Class: "c", Patience: 5000, From: h, Job: Job{Body: body}}, h.clock.Now()})
-	require.Equal(t, []Answer{{Kind: Failed, Reason: idInUse}}, h.answers, "the id is in use")
+	h.apply(acceptEvent{&Request{ID: "x", Class: "c", ClientTimeoutMS: 5000, Receiver: h, Job: Job{Body: body}}, h.clock.Now()})
+	require.Equal(t, []Response{{Kind: Failed, Reason: idInUse}}, h.answers, "the id is in use")
 	require.Zero(t, body.Len(), "its body was released")
 	for _, id := range []string{"2", "3", "4", "5", "6"} {
 		h.accept(id, "c")
 	}
-	require.Equal(t, Answer{Kind: Refused, RetryAfter: 1000, Reason: tooManyOpen}, h.answers[1], "too many requests are open")
+	require.Equal(t, Response{Kind: Refused, RetryAfter: 1000, Reason: tooManyOpen}, h.answers[1], "too many requests are open")
 	h.accept("7", "dance")
 	require.Len(t, h.answers, 3)
-	h.apply(clientLeftEvent{&Request{ID: "x", From: h}})
-	require.Equal(t, 1, h.core.stats.Left)
+	h.apply(clientLeftEvent{&Request{ID: "x", Receiver: h}})
+	require.Equal(t, 1, h.core.stats.ClientsLeft)
 	require.Len(t, h.answers, 3, "a client that left gets no response")
 }
 
@@ -214,8 +214,8 @@
 func TestWholeListKeepsOtherSources(t *testing.T) {
 	h := newHarness(t, 1)
 	h.core.sources["second"] = &source{Source: Source{Name: "second", Transport: h}, targets: map[string]Target{}}
-	h.apply(listEvent{"second", Group{Scope: balance.Changes, Targets: []Target{{Member: balance.Member{ID: "z", Zone: "a"}}}}})
-	h.apply(listEvent{"test", Group{Scope: balance.Whole}})
+	h.apply(listEvent{"second", TargetList{Scope: balance.Changes, Targets: []Target{{Member: balance.Member{ID: "z", Zone: "a"}}}}})
+	h.apply(listEvent{"test", TargetList{Scope: balance.Complete}})
 	h.accept("x", "c")
 	require.Equal(t, "z", h.started[0].Target)
 }
@@ -225,14 +225,14 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { h.core.Run(ctx); close(done) }()
-	h.core.TakeIn(&Request{ID: "x", Class: "c", Patience: 5000, Slots: 1, From: h})
+	h.core.Accept(&Request{ID: "x", Class: "c", ClientTimeoutMS: 5000, Slots: 1, Receiver: h})
 	idle := h.core.Idle()
-	require.Equal(t, 1, h.core.Books().Open)
-	h.core.News(TargetNews{ID: "x", From: "a", Result: balance.OK})
+	require.Equal(t, 1, h.core.Stats().Open)
+	h.core.ReceiveCallback(TargetCallback{ID: "x", From: "a", Result: balance.OK})
 	<-idle
 	cancel()
 	<-done
-	h.core.TakeIn(&Request{ID: "y"}) // Run has returned, and the call does not block
+	h.core.Accept(&Request{ID: "y"}) // Run has returned, and the call does not block
 }
 
 // A verdict of the examiner applies to this scheduler, and this scheduler's suspicions and probe results are reported.
@@ -243,14 +243,14 @@
 		h.accept(fmt.Sprint(i), "c")
 		a := h.started[len(h.started)-1]
 		require.Equal(t, "b", a.Target)
-		h.apply(targetUpdateEvent{TargetNews{ID: a.ID, From: "b", Result: balance.OK}})
+		h.apply(targetUpdateEvent{TargetCallback{ID: a.ID, From: "b", Result: balance.OK}})
 	}
 	var suspected []string
-	h.core.cfg.Doubt = func(target string, failing bool) { suspected = append(suspected, fmt.Sprint(target, failing)) }
-	h.core.perform(&balance.Action{Kind: balance.Doubt, Worker: "a", Failing: true})
+	h.core.cfg.ReportSuspicion = func(target string, failing bool) { suspected = append(suspected, fmt.Sprint(target, failing)) }
+	h.core.perform(&balance.Action{Kind: balance.SuspectWorker, Worker: "a", Failing: true})
 	require.Equal(t, []string{"atrue"}, suspected)
 	var probed []string
-	h.core.cfg.Probed = func(target string, answered bool) { probed = append(probed, fmt.Sprint(target, answered)) }
+	h.core.cfg.ReportProbe = func(target string, answered bool) { probed = append(probed, fmt.Sprint(target, answered)) }
 	h.apply(probeOf("a", balance.OK))
 	h.apply(probeOf("b", balance.TimedOut))
 	require.Equal(t, []string{"atrue", "bfalse"}, probed)
@@ -264,9 +264,9 @@
 func TestOnlyFirstTriesAreCounted(t *testing.T) {
 	h := newHarness(t, 1)
 	counts := map[string]int{}
-	h.core.cfg.Asked = func(tenant string) { counts[tenant]++ }
+	h.core.cfg.CountRequest = func(tenant string) { counts[tenant]++ }
 	submit := func(id, class string, timeout float64, first, repeat bool) {
-		h.apply(acceptEvent{&Request{ID: id, Class: class, Tenant: "t", Patience: timeout, Slots: 1, First: first, Repeat: repeat, From: h}, h.clock.Now()})
+		h.apply(acceptEvent{&Request{ID: id, Class: class, Tenant: "t", ClientTimeoutMS: timeout, Slots: 1, FirstTry: first, MarkedRetry: repeat, Receiver: h}, h.clock.Now()})
 	}
 	submit("a", "c", 5000, false, false)
 	submit("b", "c", 4000, false, false)
@@ -285,9 +285,9 @@
 func TestRulesExpireIntoStrictRules(t *testing.T) {
 	h := newHarness(t, 2)
 	drainRules := func(ids ...string) Rules {
-		r := Rules{Cold: 1, Targets: map[string]bool{}, ComeBack: map[string]float64{"c": 70}}
+		r := Rules{ColdFactor: 1, DrainedTargets: map[string]bool{}, RetryAfterMS: map[string]float64{"c": 70}}
 		for _, id := range ids {
-			r.Targets[id] = true
+			r.DrainedTargets[id] = true
 		}
 		return r
 	}
@@ -296,7 +296,7 @@
 		h.accept(fmt.Sprint("r", n), "c")
 		require.Len(t, h.started, n+1)
 		at := h.started[n]
-		h.apply(targetUpdateEvent{TargetNews{ID: at.ID, From: at.Target, Result: balance.OK, Body: "x"}})
+		h.apply(targetUpdateEvent{TargetCallback{ID: at.ID, From: at.Target, Result: balance.OK, Body: "x"}})
 		return []string{at.Target}
 	}
 	h.apply(rulesEvent{drainRules("a"), h.clock.Now() + 1000, drainRules("b")})
@@ -304,13 +304,13 @@
 		require.Equal(t, []string{"b"}, selectedTarget())
 	}
 	// A change from discovery that lists a drained target as ready does not end the drain.
-	h.apply(listEvent{"test", Group{Scope: balance.Changes, Targets: []Target{{Member: balance.Member{ID: "a", Zone: "a", Cell: "1"}}}}})
+	h.apply(listEvent{"test", TargetList{Scope: balance.Changes, Targets: []Target{{Member: balance.Member{ID: "a", Zone: "a", Cell: "1"}}}}})
 	require.Equal(t, []string{"b"}, selectedTarget())
 	h.clock.Advance(1001)
 	for range 5 {
 		require.Equal(t, []string{"a"}, selectedTarget(), "the strict rules are in force")
 	}
-	h.apply(rulesEvent{Rules{Cold: 1, Zones: map[string]bool{"a": true}, ComeBack: map[string]float64{"c": 70}}, h.clock.Now() + 1000, drainRules()})
+	h.apply(rulesEvent{Rules{ColdFactor: 1, DrainedZones: map[string]bool{"a": true}, RetryAfterMS: map[string]float64{"c": 70}}, h.clock.Now() + 1000, drainRules()})
 	n := len(h.started)
 	h.accept("x", "c")
 	require.Len(t, h.started, n, "all targets of the zone are drained")
@@ -329,11 +329,11 @@
 	sent := len(h.started)
 	h.apply(finishEvent{})
 	require.Len(t, h.answers, 2)
-	require.Contains(t, h.answers, Answer{Kind: Failed, Reason: shutdownReason}, "it may have run")
+	require.Contains(t, h.answers, Response{Kind: Failed, Reason: shutdownReason}, "it may have run")
 	h.accept("z", "c")
-	require.Equal(t, Answer{Kind: Refused, RetryAfter: 1000, Reason: shutdownReason}, h.answers[2])
+	require.Equal(t, Response{Kind: Refused, RetryAfter: 1000, Reason: shutdownReason}, h.answers[2])
 	require.Len(t, h.started, sent)
-	h.apply(outcomeEvent{Outcome{Ref: h.started[0].Ref, Result: balance.Full}})
+	h.apply(outcomeEvent{Outcome{AttemptRef: h.started[0].AttemptRef, Result: balance.Full}})
 	h.advance(6000)
 	require.Len(t, h.answers, 3, "one final response each")
 	require.Len(t, h.started, sent, "no further attempt is started")
--- a/internal/core/relay.go
+++ b/internal/core/deliver.go
@@ -5,29 +5,29 @@
 	"cottonwell/internal/clock"
 )
 
-// Ended passes the outcome of an attempt. Only the first outcome of an attempt counts.
-func (c *Core) Ended(o Outcome) { c.post(outcomeEvent{o}) }
+// AttemptEnded passes the outcome of an attempt. Only the first outcome of an attempt counts.
+func (c *Core) AttemptEnded(o Outcome) { c.post(outcomeEvent{o}) }
 
 type outcomeEvent struct{ outcome Outcome }
 
 func (e outcomeEvent) apply(c *Core) {
 	f := c.flows[e.outcome.Flow]
-	if f == nil || e.outcome.N >= len(f.attempts) || f.attempts[e.outcome.N].ended {
+	if f == nil || e.outcome.Index >= len(f.attempts) || f.attempts[e.outcome.Index].ended {
 		c.countDropped("outcome of an attempt that is over")
 		return
 	}
-	c.endAttempt(f, e.outcome.N, e.outcome)
+	c.endAttempt(f, e.outcome.Index, e.outcome)
 }
 
-// News passes a callback of a target.
-func (c *Core) News(n TargetNews) { c.post(targetUpdateEvent{n}) }
+// ReceiveCallback passes a callback of a target.
+func (c *Core) ReceiveCallback(n TargetCallback) { c.post(targetUpdateEvent{n}) }
 
-type targetUpdateEvent struct{ update TargetNews }
+type targetUpdateEvent struct{ update TargetCallback }
 
 func (e targetUpdateEvent) apply(c *Core) {
 	f := c.flowsByID[e.update.ID]
-	if f == nil && c.cfg.Stray != nil && !e.update.PassedOn {
-		c.cfg.Stray(e.update)
+	if f == nil && c.cfg.ForwardUnmatched != nil && !e.update.PassedOn {
+		c.cfg.ForwardUnmatched(e.update)
 		return
 	}
 	if f == nil || f.outstanding < 0 || f.attempts[f.outstanding].target != e.update.From {
@@ -37,11 +37,11 @@
 	n := f.outstanding
 	if p := e.update.Progress; p != nil {
 		if p.Data == "" {
-			c.enqueue(balance.Event{Kind: balance.Noted, Request: f.number, Attempt: n, Worker: e.update.From,
+			c.enqueue(balance.Event{Kind: balance.Progressed, Request: f.number, Attempt: n, Worker: e.update.From,
 				Started: p.Started, Fraction: p.Fraction})
 		}
 		if !f.answered {
-			f.From.Progress(*p)
+			f.Receiver.Progress(*p)
 		}
 		return
 	}
@@ -50,10 +50,10 @@
 		// target. If it were assigned to the current attempt, a further attempt would run in parallel. So the current
 		// attempt is cancelled first.
 		c.countDropped("an end that may be another attempt's")
-		c.cancel(Ref{f.number, n}, ambiguousEnd)
+		c.cancel(AttemptRef{f.number, n}, ambiguousEnd)
 		return
 	}
-	c.endAttempt(f, n, Outcome{Ref: Ref{f.number, n}, Result: e.update.Result, Report: e.update.Report, Body: e.update.Body})
+	c.endAttempt(f, n, Outcome{AttemptRef: AttemptRef{f.number, n}, Result: e.update.Result, Report: e.update.Report, Body: e.update.Body})
 }
 
 // mayConfuseAttempts reports whether an earlier attempt at the target of attempt n ended without a confirmation of the
@@ -77,7 +77,7 @@
 	c.stats.countOutcome(o.Result)
 	c.trace.attemptEnded(f, n)
 	if o.Result == balance.OK && !f.answered {
-		c.deliver(f, Answer{Kind: Served, Body: o.Body})
+		c.deliver(f, Response{Kind: Served, Body: o.Body})
 	}
 	c.enqueue(balance.Event{Kind: balance.Ended, Request: f.number, Attempt: n, Worker: a.target, Result: o.Result,
 		Final: f.answered, Elapsed: clock.Duration(a.endedAt - a.sentAt), Report: o.Report})
@@ -85,14 +85,14 @@
 }
 
 // deliverFixed delivers the fixed response that the decision module chose. It does nothing if the flow is over.
-func (c *Core) deliverFixed(number uint64, response Answer) {
+func (c *Core) deliverFixed(number uint64, response Response) {
 	if f := c.flows[number]; f != nil && !f.answered {
 		c.deliver(f, response)
 	}
 }
 
 // deliver sends a flow's one final response to its client.
-func (c *Core) deliver(f *flow, response Answer) {
+func (c *Core) deliver(f *flow, response Response) {
 	if !c.invariants.Check(!f.answered, "second-answer", "flow %d", f.number) {
 		return
 	}
@@ -105,7 +105,7 @@
 		c.stats.Failed++
 	}
 	c.trace.requestCompleted(f, &response)
-	f.From.Answer(response)
+	f.Receiver.Respond(response)
 	c.closeForClient(f)
 }
 
@@ -117,13 +117,13 @@
 	}
 	c.log.Error("flow overdue: no decision of the decision module before the deadline", "flow", f.number, "id", f.ID, "class", f.Class)
 	c.invariants.Check(false, "flow-overdue", "flow %d", f.number)
-	c.deliver(f, Answer{Kind: Failed, TimedOut: true, Reason: noDecision})
+	c.deliver(f, Response{Kind: Failed, TimedOut: true, Reason: noDecision})
 	c.enqueue(balance.Event{Kind: balance.Departed, Request: f.number})
 }
 
-// Finish ends every open flow with a final response: refused if no attempt of it can have run, otherwise failed. It is
+// EndOpenFlows ends every open flow with a final response: refused if no attempt of it can have run, otherwise failed. It is
 // called shortly before the process is killed.
-func (c *Core) Finish() { c.post(finishEvent{}) }
+func (c *Core) EndOpenFlows() { c.post(finishEvent{}) }
 
 type finishEvent struct{}
 
@@ -133,10 +133,10 @@
 		if f.answered {
 			continue
 		}
-		response := Answer{Kind: Refused, RetryAfter: c.cfg.ComeBack, Reason: shutdownReason}
+		response := Response{Kind: Refused, RetryAfter: c.cfg.RetryAfterMS, Reason: shutdownReason}
 		for _, a := range f.attempts {
 			if c.mayHaveRun(&a) {
-				response = Answer{Kind: Failed, Reason: shutdownReason}
+				response = Response{Kind: Failed, Reason: shutdownReason}
 			}
 		}
 		c.log.Warn("open flow ended early because the program is shutting down", "flow", f)
--- a/internal/core/send.go
+++ b/internal/core/dispatch.go
@@ -39,13 +39,13 @@
 		attemptDeadline = f.deadline
 	}
 	f.attempts[n].transport, f.outstanding = s.Transport, n
-	c.stats.Sends++
+	c.stats.Dispatches++
 	c.trace.attemptStarted(f, leaseEnd-now)
 	c.timers.add(timer{at: attemptDeadline, kind: attemptTimer, id: f.number, attempt: n})
 	if f.Job.Body != nil {
 		f.Job.Body.Retain()
 	}
-	s.Transport.Start(Attempt{Ref: Ref{f.number, n}, ID: f.ID, Class: f.Class, Target: a.Worker, Job: f.Job, Deadline: attemptDeadline, Latest: min(windowEnd, leaseEnd)})
+	s.Transport.Start(Attempt{AttemptRef: AttemptRef{f.number, n}, ID: f.ID, Class: f.Class, Target: a.Worker, Job: f.Job, Deadline: attemptDeadline, SendBy: min(windowEnd, leaseEnd)})
 }
 
 // startRefusal returns the reason why an attempt may not start now, or "" if it may. allowed is whether the rules permit
@@ -94,26 +94,26 @@
 
 // cancel requests the cancellation of an attempt. The attempt ends when the transport reports its outcome. Until then the
 // target may still run it, and a further attempt would be a duplicate.
-func (c *Core) cancel(r Ref, reason balance.Reason) {
+func (c *Core) cancel(r AttemptRef, reason balance.Reason) {
 	f := c.flows[r.Flow]
-	if f == nil || r.N >= len(f.attempts) {
+	if f == nil || r.Index >= len(f.attempts) {
 		return
 	}
-	if a := &f.attempts[r.N]; !a.ended && !a.cancelling {
+	if a := &f.attempts[r.Index]; !a.ended && !a.cancelling {
 		a.cancelling = true
 		c.stats.Cancels++
-		c.trace.attemptCancelled(f, r.N, reason)
-		a.transport.Cancel(Attempt{Ref: r, ID: f.ID, Class: f.Class, Target: a.target})
+		c.trace.attemptCancelled(f, r.Index, reason)
+		a.transport.Cancel(Attempt{AttemptRef: r, ID: f.ID, Class: f.Class, Target: a.target})
 	}
 }
 
 // expire ends an attempt that timed out. It notifies the target but does not wait for a confirmation, since the client's
 // deadline has passed as well.
-func (c *Core) expire(r Ref) {
+func (c *Core) expire(r AttemptRef) {
 	f := c.flows[r.Flow]
-	if f == nil || f.attempts[r.N].ended {
+	if f == nil || f.attempts[r.Index].ended {
 		return
 	}
 	c.cancel(r, attemptTimeout)
-	c.endAttempt(f, r.N, Outcome{Ref: r, Result: balance.TimedOut})
+	c.endAttempt(f, r.Index, Outcome{AttemptRef: r, Result: balance.TimedOut})
 }
--- a/internal/core/leases.go
+++ b/internal/core/leases.go
@@ -8,14 +8,14 @@
 	"slices"
 
 	"cottonwell/balance"
-	"cottonwell/internal/freshness"
+	"cottonwell/internal/listlease"
 )
 
 // listLease applies the lease on the list of the watched source. Package freshness decides which targets may be used. The
 // code here passes that on to the decision module, the transport and other schedulers.
 type listLease struct {
-	lease              *freshness.Lease // nil: lists are used without limit
-	peers              *freshness.Peers // nil if schedulers exchange no messages
+	lease              *listlease.Lease // nil: lists are used without limit
+	peers              *listlease.Peers // nil if schedulers exchange no messages
 	leasedSource       *source          // the source whose list is under the lease
 	unreadableMessages int              // datagrams about the list that could not be parsed
 	leaseTimerAt       float64          // when the next lease timer is due, in milliseconds; in the past if none is set
@@ -50,26 +50,26 @@
 	}
 	now, settings := c.clock.Now(), &c.cfg.Settings
 	c.lapsedAt = now
-	if c.lease, err = freshness.NewLease(c.cfg.ListLease, cmp.Or(c.cfg.UnwatchedLease, c.cfg.ListLease)); err != nil {
+	if c.lease, err = listlease.NewLease(c.cfg.ListLease, cmp.Or(c.cfg.UnwatchedLease, c.cfg.ListLease)); err != nil {
 		return err
 	}
-	if c.cfg.Tell == nil || !settings.Peers || settings.Fleet < 2 {
+	if c.cfg.SendToPeers == nil || !settings.Peers || settings.Fleet < 2 {
 		return nil
 	}
-	c.peers, err = freshness.NewPeers(now, freshness.PeersConfig{Self: settings.Self, Fleet: settings.Fleet, Seed: c.cfg.Seed, QueryIntervalMS: peerQueryIntervalMS,
+	c.peers, err = listlease.NewPeers(now, listlease.PeersConfig{Self: settings.Self, Fleet: settings.Fleet, Seed: c.cfg.Seed, QueryIntervalMS: peerQueryIntervalMS,
 		UnwatchedQueryAgeMS: queryAgeUnwatchedMS, WatchedQueryAgeMS: queryAgeWatchedMS, PeersPerQuery: peersPerQuery, MinAgeGainMS: minAgeGainMS, KeepQueryMS: keepQueryMS}, c.lease)
 	return err
 }
 
 // updateLeaseList passes the source's current targets to the lease after a list, or changes to it, were applied to them.
-func (c *Core) updateLeaseList(s *source, g *Group) (changed bool) {
+func (c *Core) updateLeaseList(s *source, g *TargetList) (changed bool) {
 	if c.lease == nil || s != c.leasedSource {
 		return false
 	}
-	serving := make([]freshness.Target, 0, len(s.targets))
+	serving := make([]listlease.Target, 0, len(s.targets))
 	for id, t := range s.targets {
 		if t.State == balance.Ready {
-			serving = append(serving, freshness.Target{Name: id, StartedMS: t.StartedMS})
+			serving = append(serving, listlease.Target{Name: id, StartedMS: t.StartedMS})
 		}
 	}
 	now := c.clock.Now()
@@ -79,8 +79,8 @@
 	return c.lease.ConfirmList(now, g.ReadAt, serving)
 }
 
-// SignOfLife reports a heartbeat on the open watch of a source, and when it was read.
-func (c *Core) SignOfLife(sourceName string, readAt float64) {
+// Heartbeat reports a heartbeat on the open watch of a source, and when it was read.
+func (c *Core) Heartbeat(sourceName string, readAt float64) {
 	c.post(heartbeatEvent{sourceName, readAt})
 }
 
@@ -90,25 +90,25 @@
 }
 
 func (e heartbeatEvent) apply(c *Core) {
-	c.stats.SignsOfLife++
+	c.stats.Heartbeats++
 	c.trace.leaseConfirmed("heartbeat", c.clock.Now()-e.readAt)
 	if s := c.sources[e.source]; s != nil && c.lease != nil && s == c.leasedSource {
 		c.afterLeaseEvent(s, c.lease.Heartbeat(c.clock.Now(), e.readAt))
 	}
 }
 
-// Moved reports that a source is polled at another address from now on.
-func (c *Core) Moved(sourceName string) { c.post(discoveryMovedEvent{sourceName}) }
+// DiscoveryAddressChanged reports that a source is polled at another address from now on.
+func (c *Core) DiscoveryAddressChanged(sourceName string) { c.post(discoveryMovedEvent{sourceName}) }
 
 type discoveryMovedEvent struct{ source string }
 
 func (e discoveryMovedEvent) apply(c *Core) {
 	s := c.sources[e.source]
-	if s == nil || c.lease == nil || s != c.leasedSource || c.cfg.MovedLease <= 0 {
+	if s == nil || c.lease == nil || s != c.leasedSource || c.cfg.AddressChangeLease <= 0 {
 		return
 	}
 	now := c.clock.Now()
-	c.afterLeaseEvent(s, c.lease.LimitTo(now, now+c.cfg.MovedLease))
+	c.afterLeaseEvent(s, c.lease.LimitTo(now, now+c.cfg.AddressChangeLease))
 }
 
 // watchLost notifies the lease that a request to the source failed or that its watch ended.
@@ -123,12 +123,12 @@
 	if c.lease == nil || c.sourceByTarget[r.Target] != c.leasedSource {
 		return
 	}
-	status := freshness.NoResponse
+	status := listlease.NoResponse
 	switch {
 	case r.NotReady:
-		status = freshness.NotReady
+		status = listlease.NotReady
 	case r.Result == balance.OK:
-		status = freshness.Serving
+		status = listlease.Serving
 	}
 	c.afterLeaseEvent(c.leasedSource, c.lease.Probed(c.clock.Now(), r.Target, status))
 }
@@ -146,17 +146,17 @@
 	}
 	c.sendListMessages(out)
 	if changed {
-		c.stats.WordsPassedOn++
+		c.stats.ForwardedConfirmations++
 		c.trace.leaseConfirmed("another scheduler", c.lease.Age(c.clock.Now()))
-		c.enqueue(balance.Event{Kind: balance.Answered})
+		c.enqueue(balance.Event{Kind: balance.PeerGotList})
 	}
 	c.afterLeaseEvent(c.leasedSource, changed)
 }
 
-func (c *Core) sendListMessages(out []freshness.Message) {
+func (c *Core) sendListMessages(out []listlease.Message) {
 	for _, m := range out {
-		c.stats.WordsTold += len(m.To)
-		c.cfg.Tell(m.To, m.Raw)
+		c.stats.ListMessagesSent += len(m.To)
+		c.cfg.SendToPeers(m.To, m.Raw)
 	}
 }
 
@@ -194,7 +194,7 @@
 	switch lapsed := c.lease.Lapsed(); {
 	case !lapsed && !math.IsInf(c.lapsedAt, 1):
 		lapsedMS := c.clock.Now() - c.lapsedAt
-		c.stats.LapsedFor += lapsedMS
+		c.stats.LapsedMS += lapsedMS
 		c.lapsedAt = math.Inf(1)
 		if c.stats.Lapses == 0 {
 			close(c.listReady)
--- a/internal/core/leases_test.go
+++ b/internal/core/leases_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 
 	"cottonwell/balance"
-	"cottonwell/internal/freshness"
+	"cottonwell/internal/listlease"
 )
 
 const listLeaseMS = 5700.0
@@ -19,21 +19,21 @@
 	}
 	h.core.cfg.ListLease, h.core.listReady = listLeaseMS, make(chan struct{})
 	require.NoError(t, h.core.startLease())
-	h.core.afterLeaseEvent(h.core.leasedSource, h.core.updateLeaseList(h.core.leasedSource, &Group{Scope: balance.FromDisk}))
+	h.core.afterLeaseEvent(h.core.leasedSource, h.core.updateLeaseList(h.core.leasedSource, &TargetList{Scope: balance.FromDisk}))
 	h.core.route()
 	return h
 }
 
 // receiveChanges applies an empty set of changes from the source, read now. It renews the lease.
 func (h *harness) receiveChanges() {
-	h.apply(listEvent{"test", Group{Scope: balance.Changes, ReadAt: h.clock.Now()}})
+	h.apply(listEvent{"test", TargetList{Scope: balance.Changes, ReadAt: h.clock.Now()}})
 }
 
-func (h *harness) loseWatch() { h.apply(listEvent{"test", Group{Scope: balance.AskFailed}}) }
+func (h *harness) loseWatch() { h.apply(listEvent{"test", TargetList{Scope: balance.RequestFailed}}) }
 
 func (h *harness) serve(id string) {
 	last := h.started[len(h.started)-1]
-	h.apply(targetUpdateEvent{TargetNews{ID: id, From: last.Target, Result: balance.OK}})
+	h.apply(targetUpdateEvent{TargetCallback{ID: id, From: last.Target, Result: balance.OK}})
 }
 
 // expireLease lets a lease expire that was just renewed. A request is served 1 ms before the end, and another one is queued
@@ -57,13 +57,13 @@
 	h.apply(probeEvent{ProbeResult{Target: "b", SentAt: h.clock.Now(), Result: balance.OK}})
 	require.Empty(t, h.started, "a probe does not confirm the list")
 	select {
-	case <-h.core.Fresh():
+	case <-h.core.ListReady():
 		require.Fail(t, "ready for clients before the first list")
 	default:
 	}
 	h.receiveChanges()
 	require.Len(t, h.started, 1)
-	<-h.core.Fresh()
+	<-h.core.ListReady()
 }
 
 // No attempt is started after the lease has expired. Queued requests are dispatched once it is renewed. The decision module
@@ -81,7 +81,7 @@
 	h.receiveChanges()
 	require.Len(t, h.started, 2)
 	require.Zero(t, h.core.withheldCount())
-	require.Equal(t, 9.0, h.core.stats.LapsedFor, "counted from the detection of the expiry")
+	require.Equal(t, 9.0, h.core.stats.LapsedMS, "counted from the detection of the expiry")
 }
 
 // A request that reaches its deadline while the lease is expired is refused, and counted as such a refusal.
@@ -112,7 +112,7 @@
 	heardAt := h.clock.Now()
 	h.advance(100)
 	h.accept("open", "c")
-	require.Equal(t, heardAt+listLeaseMS, h.started[0].Latest)
+	require.Equal(t, heardAt+listLeaseMS, h.started[0].SendBy)
 }
 
 // If the process is paused and the lease expires meanwhile, no attempt is started. The lease is checked at the start of each
@@ -148,7 +148,7 @@
 // If MovedLease is set, no attempt is started after it has expired, until the new discovery address confirms the list.
 func TestLeaseAfterDiscoveryAddressChange(t *testing.T) {
 	h := newLeasedHarness(t, 1)
-	h.core.cfg.MovedLease = 3700
+	h.core.cfg.AddressChangeLease = 3700
 	h.receiveChanges()
 	h.apply(discoveryMovedEvent{"test"})
 	h.advance(3699)
@@ -167,20 +167,20 @@
 func TestServesOnForwardedConfirmation(t *testing.T) {
 	h := newLeasedHarness(t, 2)
 	var sent []string
-	h.core.cfg.Tell = func(to []int, raw string) {
+	h.core.cfg.SendToPeers = func(to []int, raw string) {
 		require.Equal(t, []int{1}, to)
 		sent = append(sent, raw)
 	}
 	h.core.cfg.Settings.Peers, h.core.cfg.Settings.Fleet, h.core.listReady = true, 2, make(chan struct{})
 	require.NoError(t, h.core.startLease())
-	h.apply(listEvent{"test", Group{Scope: balance.FromDisk, Targets: []Target{h.core.leasedSource.targets["a"], h.core.leasedSource.targets["b"]}}})
+	h.apply(listEvent{"test", TargetList{Scope: balance.FromDisk, Targets: []Target{h.core.leasedSource.targets["a"], h.core.leasedSource.targets["b"]}}})
 	h.accept("x", "c")
 	h.advance(200)
 	require.Len(t, sent, 1)
-	other, err := freshness.NewLease(listLeaseMS, listLeaseMS)
+	other, err := listlease.NewLease(listLeaseMS, listLeaseMS)
 	require.NoError(t, err)
-	other.ConfirmList(7000, 7000, []freshness.Target{{Name: "b"}})
-	peers, err := freshness.NewPeers(7000, freshness.PeersConfig{Self: 1, Fleet: 2, QueryIntervalMS: 1, PeersPerQuery: 1, MinAgeGainMS: 1}, other)
+	other.ConfirmList(7000, 7000, []listlease.Target{{Name: "b"}})
+	peers, err := listlease.NewPeers(7000, listlease.PeersConfig{Self: 1, Fleet: 2, QueryIntervalMS: 1, PeersPerQuery: 1, MinAgeGainMS: 1}, other)
 	require.NoError(t, err)
 	answers, _, err := peers.Receive(7100, 0, sent[0])
 	require.NoError(t, err)
@@ -189,7 +189,7 @@
 	require.Len(t, h.started, 1)
 	require.Equal(t, "b", h.started[0].Target)
 	require.Equal(t, 1, h.core.withheldCount(), "the other target has left the list")
-	require.Equal(t, 1, h.core.stats.WordsPassedOn)
+	require.Equal(t, 1, h.core.stats.ForwardedConfirmations)
 	h.apply(peerMessageEvent{1, answers[0].Raw[:9]})
 	require.Equal(t, 1, h.core.unreadableMessages)
 }
@@ -200,7 +200,7 @@
 	h := newLeasedHarness(t, 1)
 	h.core.cfg.UnwatchedLease, h.core.listReady = 2700, make(chan struct{})
 	require.NoError(t, h.core.startLease())
-	h.core.afterLeaseEvent(h.core.leasedSource, h.core.updateLeaseList(h.core.leasedSource, &Group{Scope: balance.FromDisk}))
+	h.core.afterLeaseEvent(h.core.leasedSource, h.core.updateLeaseList(h.core.leasedSource, &TargetList{Scope: balance.FromDisk}))
 	h.receiveChanges()
 	h.advance(2800)
 	h.accept("x", "c")
--- a/internal/core/maintenance.go
+++ b/internal/core/maintenance.go
@@ -16,9 +16,9 @@
 // Online undoes Offline. It reports whether a target of that name is listed or offline.
 func (c *Core) Online(target string) bool { return c.setMaintenance(maintenanceEvent{target: target}) }
 
-// Inherit applies the Offline of another process of this scheduler. That process had the target listed, so this one need
+// InheritOffline applies the Offline of another process of this scheduler. That process had the target listed, so this one need
 // not know it.
-func (c *Core) Inherit(target string) {
+func (c *Core) InheritOffline(target string) {
 	c.setMaintenance(maintenanceEvent{target: target, offline: true, inherited: true})
 }
 
@@ -75,7 +75,7 @@
 
 // publishTargets passes the usable state of listed targets of a source to the decision module and the transport.
 func (c *Core) publishTargets(s *source, targets ...Target) {
-	group := Group{Scope: balance.Changes}
+	group := TargetList{Scope: balance.Changes}
 	ev := balance.Event{Kind: balance.Listed, List: balance.Changes, Local: true}
 	for _, t := range targets {
 		t.Member = c.memberOf(t)
@@ -88,7 +88,7 @@
 }
 
 // applyMaintenance returns a source's list or changes, with the targets that are offline marked as draining.
-func (c *Core) applyMaintenance(g Group) Group {
+func (c *Core) applyMaintenance(g TargetList) TargetList {
 	if len(c.offline) == 0 {
 		return g
 	}
--- a/internal/core/maintenance_test.go
+++ b/internal/core/maintenance_test.go
@@ -25,18 +25,18 @@
 	onA := h.started[len(h.started)-1]
 	require.True(t, h.maintain("a", true))
 	require.True(t, h.maintain("a", true), "Offline is idempotent")
-	h.apply(listEvent{"test", Group{Scope: balance.Changes, Targets: []Target{{Member: balance.Member{ID: "a", Zone: "a", Cell: "1"}}}}})
-	h.apply(listEvent{"test", Group{Scope: balance.Whole, Targets: []Target{{Member: balance.Member{ID: "a", Zone: "a", Cell: "1"}}, {Member: balance.Member{ID: "b", Zone: "a", Cell: "2"}}}}})
+	h.apply(listEvent{"test", TargetList{Scope: balance.Changes, Targets: []Target{{Member: balance.Member{ID: "a", Zone: "a", Cell: "1"}}}}})
+	h.apply(listEvent{"test", TargetList{Scope: balance.Complete, Targets: []Target{{Member: balance.Member{ID: "a", Zone: "a", Cell: "1"}}, {Member: balance.Member{ID: "b", Zone: "a", Cell: "2"}}}}})
 	for _, f := range h.core.flows {
-		h.apply(outcomeEvent{Outcome{Ref: Ref{f.number, 0}, Result: balance.OK}})
+		h.apply(outcomeEvent{Outcome{AttemptRef: AttemptRef{f.number, 0}, Result: balance.OK}})
 	}
-	require.Contains(t, h.answers, Answer{Kind: Served}, "the outstanding attempt ended")
+	require.Contains(t, h.answers, Response{Kind: Served}, "the outstanding attempt ended")
 	before := len(h.started)
 	for i := range 20 {
 		h.accept("later"+string(rune('A'+i)), "c")
 		if a := h.started[len(h.started)-1]; len(h.started) > before {
 			require.Equal(t, "b", a.Target)
-			h.apply(outcomeEvent{Outcome{Ref: a.Ref, Result: balance.OK}})
+			h.apply(outcomeEvent{Outcome{AttemptRef: a.AttemptRef, Result: balance.OK}})
 		}
 		h.advance(10)
 	}
@@ -46,7 +46,7 @@
 	require.Eventually(t, func() bool {
 		h.accept("back"+string(rune(len(h.started))), "c")
 		a := h.started[len(h.started)-1]
-		h.apply(outcomeEvent{Outcome{Ref: a.Ref, Result: balance.OK}})
+		h.apply(outcomeEvent{Outcome{AttemptRef: a.AttemptRef, Result: balance.OK}})
 		h.advance(10)
 		return a.Target == "a"
 	}, 8*time.Second, time.Millisecond, "the target is used again")
@@ -58,9 +58,9 @@
 	require.False(t, h.maintain("z", true))
 	require.False(t, h.maintain("z", false))
 	require.True(t, h.maintain("a", true))
-	h.apply(listEvent{"test", Group{Scope: balance.Changes, Targets: []Target{{Member: balance.Member{ID: "a", State: balance.Gone}}}}})
+	h.apply(listEvent{"test", TargetList{Scope: balance.Changes, Targets: []Target{{Member: balance.Member{ID: "a", State: balance.Gone}}}}})
 	require.True(t, h.maintain("a", true))
-	h.apply(listEvent{"test", Group{Scope: balance.Changes, Targets: []Target{{Member: balance.Member{ID: "a", Zone: "a", Cell: "1"}}}}})
+	h.apply(listEvent{"test", TargetList{Scope: balance.Changes, Targets: []Target{{Member: balance.Member{ID: "a", Zone: "a", Cell: "1"}}}}})
 	h.accept("x", "c")
 	require.Empty(t, h.started)
 	require.True(t, h.maintain("a", false))
@@ -72,16 +72,16 @@
 // forwarded again, and a callback about a known job is not forwarded.
 func TestUpdateOfUnknownJobIsForwardedOnce(t *testing.T) {
 	h := newHarness(t, 1)
-	var unmatched []TargetNews
-	h.core.cfg.Stray = func(n TargetNews) { unmatched = append(unmatched, n) }
-	unknown := TargetNews{ID: "other's", From: "a", Result: balance.OK}
+	var unmatched []TargetCallback
+	h.core.cfg.ForwardUnmatched = func(n TargetCallback) { unmatched = append(unmatched, n) }
+	unknown := TargetCallback{ID: "other's", From: "a", Result: balance.OK}
 	h.apply(targetUpdateEvent{unknown})
 	forwarded := unknown
 	forwarded.PassedOn = true
 	h.apply(targetUpdateEvent{forwarded})
 	h.accept("x", "c")
-	h.apply(targetUpdateEvent{TargetNews{ID: "x", From: "a", Result: balance.OK}})
-	require.Equal(t, []TargetNews{unknown}, unmatched)
+	h.apply(targetUpdateEvent{TargetCallback{ID: "x", From: "a", Result: balance.OK}})
+	require.Equal(t, []TargetCallback{unknown}, unmatched)
 	require.Len(t, h.answers, 1)
 	require.Equal(t, map[string]int{"news of an attempt that is over": 1}, h.core.stats.Dropped)
 }
--- a/internal/core/route.go
+++ b/internal/core/route.go
@@ -33,7 +33,7 @@
 			c.invariants.Check(false, "module-panic", "%v", cause)
 			out = acts[:0]
 			if f := c.flows[ev.Request]; f != nil {
-				c.deliver(f, Answer{Kind: Failed, Reason: modulePanic})
+				c.deliver(f, Response{Kind: Failed, Reason: modulePanic})
 			}
 		}
 	}()
@@ -46,7 +46,7 @@
 	case balance.Send:
 		c.dispatch(a)
 	case balance.Cancel:
-		c.cancel(Ref{a.Request, a.Attempt}, a.Reason)
+		c.cancel(AttemptRef{a.Request, a.Attempt}, a.Reason)
 	case balance.Refuse:
 		if c.lease != nil && c.lease.Lapsed() {
 			c.stats.RefusedLapsed++
@@ -55,10 +55,10 @@
 		if retryAfter <= 0 {
 			retryAfter = c.defaultRetryAfter(a.Request)
 		}
-		c.deliverFixed(a.Request, Answer{Kind: Refused, RetryAfter: retryAfter, Reason: a.Reason})
+		c.deliverFixed(a.Request, Response{Kind: Refused, RetryAfter: retryAfter, Reason: a.Reason})
 	case balance.Fail:
 		f := c.flows[a.Request]
-		c.deliverFixed(a.Request, Answer{Kind: Failed, TimedOut: f != nil && c.clock.Now() > f.deadline-100, Reason: a.Reason})
+		c.deliverFixed(a.Request, Response{Kind: Failed, TimedOut: f != nil && c.clock.Now() > f.deadline-100, Reason: a.Reason})
 	case balance.Wake:
 		c.timers.add(timer{at: c.clock.Now() + clock.Millis(a.After), kind: moduleTimer, id: a.Timer})
 	case balance.Probe:
@@ -69,15 +69,15 @@
 				s.Watch()
 			}
 		}
-	case balance.Tell:
-		if c.cfg.Tell != nil {
-			c.cfg.Tell(a.To, a.Raw)
+	case balance.SendToPeers:
+		if c.cfg.SendToPeers != nil {
+			c.cfg.SendToPeers(a.To, a.Raw)
 		}
-	case balance.Doubt:
-		if c.cfg.Doubt != nil {
-			c.cfg.Doubt(a.Worker, a.Failing)
+	case balance.SuspectWorker:
+		if c.cfg.ReportSuspicion != nil {
+			c.cfg.ReportSuspicion(a.Worker, a.Failing)
 		}
-	case balance.Say:
+	case balance.Log:
 		c.log.Info("message from the decision module", "text", a.Text)
 	}
 }
@@ -88,7 +88,7 @@
 	case moduleTimer:
 		c.enqueue(balance.Event{Kind: balance.TimerDue, Timer: t.id})
 	case attemptTimer:
-		c.expire(Ref{t.id, t.attempt})
+		c.expire(AttemptRef{t.id, t.attempt})
 	case flowTimer:
 		c.failOverdue(t.id)
 	case leaseTimer:
