--- a/internal/core/rules.go
+++ b/internal/core/rules.go
@@ -11,15 +11,15 @@
 
 // Rules are the settings that the schedulers agreed on. They take precedence over the platform's settings and lists.
 type Rules struct {
-	Attempts map[string]int     // maximum attempts of a request, by class; unset: as in the settings
-	ComeBack map[string]float64 // milliseconds, by class: retry-after of a refusal for which the decision module sets none
-	Cold     float64            // factor on the load that a cold target may be sent, 0 to 1
-	Targets  map[string]bool    // drained: they get no new attempts
-	Zones    map[string]bool    // drained: their targets get no new attempts
+	Attempts       map[string]int     // maximum attempts of a request, by class; unset: as in the settings
+	RetryAfterMS   map[string]float64 // milliseconds, by class: retry-after of a refusal for which the decision module sets none
+	ColdFactor     float64            // factor on the load that a cold target may be sent, 0 to 1
+	DrainedTargets map[string]bool    // drained: they get no new attempts
+	DrainedZones   map[string]bool    // drained: their targets get no new attempts
 }
 
 // drains reports whether the rules drain a target.
-func (r *Rules) drains(t *Target) bool { return r.Targets[t.ID] || r.Zones[t.Zone] }
+func (r *Rules) drains(t *Target) bool { return r.DrainedTargets[t.ID] || r.DrainedZones[t.Zone] }
 
 // activeRules are the rules in force at this scheduler. Their expiry is checked against the clock before each step of the
 // decision module, since the process may have been paused.
@@ -29,8 +29,10 @@
 	strictRules Rules   // in force from rulesUntil on
 }
 
-// Rule puts rules in force until a time in milliseconds, and the strict rules from then on.
-func (c *Core) Rule(now Rules, until float64, strict Rules) { c.post(rulesEvent{now, until, strict}) }
+// ApplyRules puts rules in force until a time in milliseconds, and the strict rules from then on.
+func (c *Core) ApplyRules(now Rules, until float64, strict Rules) {
+	c.post(rulesEvent{now, until, strict})
+}
 
 type rulesEvent struct {
 	now    Rules
@@ -56,8 +58,8 @@
 func (c *Core) applyRules(r Rules) {
 	previous := c.rules
 	c.rules = r
-	if previous.Cold != r.Cold || !maps.Equal(previous.Attempts, r.Attempts) {
-		c.pendingEvents = slices.Insert(c.pendingEvents, 0, balance.Event{Kind: balance.Ruled, Caps: r.Attempts, Cold: r.Cold})
+	if previous.ColdFactor != r.ColdFactor || !maps.Equal(previous.Attempts, r.Attempts) {
+		c.pendingEvents = slices.Insert(c.pendingEvents, 0, balance.Event{Kind: balance.RulesChanged, MaxAttempts: r.Attempts, ColdFactor: r.ColdFactor})
 	}
 	ev := balance.Event{Kind: balance.Listed, List: balance.Changes, Local: true}
 	for _, s := range c.sources {
@@ -93,9 +95,9 @@
 // defaultRetryAfter returns the retry-after of a refusal for which the decision module set none, in milliseconds.
 func (c *Core) defaultRetryAfter(flow uint64) float64 {
 	if f := c.flows[flow]; f != nil {
-		if retryAfter, found := c.rules.ComeBack[f.Class]; found {
+		if retryAfter, found := c.rules.RetryAfterMS[f.Class]; found {
 			return retryAfter
 		}
 	}
-	return c.cfg.ComeBack
+	return c.cfg.RetryAfterMS
 }
--- a/internal/core/trace.go
+++ b/internal/core/trace.go
@@ -31,19 +31,19 @@
 // Reasons are the numbers of decisions, by reason.
 type Reasons struct {
 	Refused, Failed map[balance.Reason]int // final responses
-	GivenUp         map[balance.Reason]int // cancelled attempts
-	NotBegun        map[balance.Reason]int // attempts not started
+	Cancelled       map[balance.Reason]int // cancelled attempts
+	NotStarted      map[balance.Reason]int // attempts not started
 	Retries         map[string]int         // attempts after the first, by the result of the previous one
 }
 
 func newReasons() Reasons {
-	return Reasons{Refused: map[balance.Reason]int{}, Failed: map[balance.Reason]int{}, GivenUp: map[balance.Reason]int{},
-		NotBegun: map[balance.Reason]int{}, Retries: map[string]int{}}
+	return Reasons{Refused: map[balance.Reason]int{}, Failed: map[balance.Reason]int{}, Cancelled: map[balance.Reason]int{},
+		NotStarted: map[balance.Reason]int{}, Retries: map[string]int{}}
 }
 
 func (r *Reasons) clone() Reasons {
-	return Reasons{Refused: maps.Clone(r.Refused), Failed: maps.Clone(r.Failed), GivenUp: maps.Clone(r.GivenUp),
-		NotBegun: maps.Clone(r.NotBegun), Retries: maps.Clone(r.Retries)}
+	return Reasons{Refused: maps.Clone(r.Refused), Failed: maps.Clone(r.Failed), Cancelled: maps.Clone(r.Cancelled),
+		NotStarted: maps.Clone(r.NotStarted), Retries: maps.Clone(r.Retries)}
 }
 
 // trace logs the course of each request at the debug level, with the request's id, and counts the reasons of decisions.
@@ -58,7 +58,7 @@
 }
 
 // requestCompleted logs and counts the final response of a request.
-func (t *trace) requestCompleted(f *flow, a *Answer) {
+func (t *trace) requestCompleted(f *flow, a *Response) {
 	kind := "served"
 	switch a.Kind {
 	case Refused:
@@ -104,7 +104,7 @@
 
 // attemptNotStarted logs and counts an attempt that the decision module requested and that was not started.
 func (t *trace) attemptNotStarted(f *flow, reason balance.Reason) {
-	t.reasons.NotBegun[reason]++
+	t.reasons.NotStarted[reason]++
 	if t.enabled {
 		n := len(f.attempts) - 1
 		t.log.Debug("attempt not started", "id", f.ID, "attempt", n, "target", f.attempts[n].target, "reason", reason)
@@ -113,7 +113,7 @@
 
 // attemptCancelled logs and counts the cancellation of an attempt.
 func (t *trace) attemptCancelled(f *flow, n int, reason balance.Reason) {
-	t.reasons.GivenUp[reason]++
+	t.reasons.Cancelled[reason]++
 	if t.enabled {
 		t.log.Debug("attempt cancelled", "id", f.ID, "attempt", n, "target", f.attempts[n].target, "reason", reason)
 	}
--- a/internal/core/trace_test.go
+++ b/internal/core/trace_test.go
@@ -18,7 +18,7 @@
 	h.core.trace = newTrace(slog.New(slog.NewTextHandler(&text, &slog.HandlerOptions{Level: slog.LevelDebug})))
 	h.accept("twice", "c")
 	first := h.started[0]
-	h.apply(outcomeEvent{Outcome{Ref: first.Ref, Result: balance.NoConnection}})
+	h.apply(outcomeEvent{Outcome{AttemptRef: first.AttemptRef, Result: balance.NoConnection}})
 	require.Len(t, h.started, 2)
 	h.advance(5000)
 	require.Len(t, h.answers, 1)
@@ -33,11 +33,11 @@
 	} {
 		require.Contains(t, text.String(), line)
 	}
-	counts := make(chan Books, 1)
+	counts := make(chan Stats, 1)
 	statsQuery{counts}.apply(h.core)
 	require.Equal(t, Reasons{
 		Refused: map[balance.Reason]int{balance.OutOfTime: 1, balance.UnknownClass: 1}, Failed: map[balance.Reason]int{},
-		GivenUp: map[balance.Reason]int{balance.AnswerGiven: 1}, NotBegun: map[balance.Reason]int{},
+		Cancelled: map[balance.Reason]int{balance.ResponseSent: 1}, NotStarted: map[balance.Reason]int{},
 		Retries: map[string]int{"no connection": 1}}, (<-counts).Reasons)
 }
 
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -31,18 +31,18 @@
 
 // Request is a client request as a listener submits it.
 type Request struct {
-	ID       string // chosen by the client, unique per request
-	Class    string
-	Tenant   string
-	Subject  string  // key of what the request is about, or empty
-	Patience float64 // client timeout in milliseconds
-	Slots    float64
-	Memory   float64 // memory units required, 0 if unknown
-	Hint     float64 // expected work in milliseconds, 0 if unknown
-	Repeat   bool    // the client marked it as a retry
-	First    bool    // the listener is sure that it is not a retry
-	Job      Job
-	From     Listener
+	ID              string // chosen by the client, unique per request
+	Class           string
+	Tenant          string
+	Subject         string  // key of what the request is about, or empty
+	ClientTimeoutMS float64 // client timeout in milliseconds
+	Slots           float64
+	Memory          float64 // memory units required, 0 if unknown
+	ExpectedWorkMS  float64 // expected work in milliseconds, 0 if unknown
+	MarkedRetry     bool    // the client marked it as a retry
+	FirstTry        bool    // the listener is sure that it is not a retry
+	Job             Job
+	Receiver        ResponseReceiver
 }
 
 // Job is the work for a target. Core forwards it unchanged.
@@ -56,26 +56,26 @@
 	Priority     int          // higher is served first; 0 is normal
 }
 
-// Listener receives the responses of a flow for its client. Core calls both methods from its own goroutine, so they must
+// ResponseReceiver receives the responses of a flow for its client. Core calls both methods from its own goroutine, so they must
 // not block. It calls Answer exactly once, or never if the client left first.
-type Listener interface {
-	Answer(Answer)
+type ResponseReceiver interface {
+	Respond(Response)
 	Progress(Progress)
 }
 
-// AnswerKind is the kind of a final response.
-type AnswerKind int
+// ResponseKind is the kind of a final response.
+type ResponseKind int
 
 // The kinds of final responses.
 const (
-	Served  AnswerKind = iota // Body holds a target's result
-	Refused                   // fixed response: a retry does no harm
-	Failed                    // fixed response: no guarantee whether the request ran
+	Served  ResponseKind = iota // Body holds a target's result
+	Refused                     // fixed response: a retry does no harm
+	Failed                      // fixed response: no guarantee whether the request ran
 )
 
-// Answer is the final response of a flow.
-type Answer struct {
-	Kind       AnswerKind
+// Response is the final response of a flow.
+type Response struct {
+	Kind       ResponseKind
 	Body       string
 	RetryAfter float64        // Refused: retry-after in milliseconds
 	TimedOut   bool           // Failed: the deadline was reached
@@ -91,15 +91,15 @@
 	Exception bool    // Data is an exception
 }
 
-// Ref identifies an attempt by the number of its flow and its index within the flow, from 0.
-type Ref struct {
-	Flow uint64
-	N    int
+// AttemptRef identifies an attempt by the number of its flow and its index within the flow, from 0.
+type AttemptRef struct {
+	Flow  uint64
+	Index int
 }
 
 // Attempt is an attempt as passed to Transport.Start and Transport.Cancel.
 type Attempt struct {
-	Ref
+	AttemptRef
 	ID     string // Request.ID
 	Class  string
 	Target string
@@ -107,11 +107,11 @@
 	Job Job
 	// Deadline is when the core stops waiting for the attempt, in milliseconds on its clock. Unset for Cancel.
 	Deadline float64
-	// Latest is the time by which the first byte must be sent, in milliseconds on the core's clock (0: no limit). It is
+	// SendBy is the time by which the first byte must be sent, in milliseconds on the core's clock (0: no limit). It is
 	// the end of the class's window for repeats or of the target's lease, whichever is earlier. Unset for Cancel.
-	Latest float64
-	// Unsent restricts Cancel to an attempt of which no byte was sent. The target is not notified.
-	Unsent bool
+	SendBy float64
+	// OnlyIfUnsent restricts Cancel to an attempt of which no byte was sent. The target is not notified.
+	OnlyIfUnsent bool
 }
 
 // Transport communicates with the targets of one source. Core calls its methods from its own goroutine, so they must not
@@ -122,7 +122,7 @@
 	Cancel(Attempt)
 	Probe(target string)
 	// Listed passes a new list, or changes to it, before any attempt is dispatched on the basis of it.
-	Listed(Group)
+	Listed(TargetList)
 }
 
 // Source is a transport with the provider of its list of targets.
@@ -141,8 +141,8 @@
 	StartedMS float64
 }
 
-// Group is a list of targets or of changes to it.
-type Group struct {
+// TargetList is a list of targets or of changes to it.
+type TargetList struct {
 	Scope   balance.ListScope
 	Targets []Target
 	// ReadAt is when its first byte was read, in milliseconds on the core's clock. It is used for a watched source only.
@@ -151,14 +151,14 @@
 
 // Outcome is how an attempt ended.
 type Outcome struct {
-	Ref
+	AttemptRef
 	Result balance.Result
 	Report balance.Report
 	Body   string // the result if the attempt succeeded
 }
 
-// TargetNews is a callback of a target about an attempt, separate from the response to the dispatch.
-type TargetNews struct {
+// TargetCallback is a callback of a target about an attempt, separate from the response to the dispatch.
+type TargetCallback struct {
 	ID, From string         // Request.ID and the target's name
 	Progress *Progress      // nil if the attempt ended
 	Result   balance.Result // how the attempt ended, if Progress is nil
--- a/internal/decide/bench_test.go
+++ b/internal/decision/bench_test.go
@@ -1,4 +1,4 @@
-package decide
+package decision
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"time"
 
 	"cottonwell/balance"
-	"cottonwell/internal/room"
+	"cottonwell/internal/backfill"
 )
 
 // BenchmarkRequest measures the cost of the decisions for one request from its arrival to its end,
@@ -16,9 +16,9 @@
 	for _, targets := range []int{12, 200} {
 		for _, enabled := range []bool{false, true} {
 			b.Run(fmt.Sprintf("targets=%d/room=%v", targets, enabled), func(b *testing.B) {
-				var plannerConfig *room.Config
+				var plannerConfig *backfill.Config
 				if enabled {
-					c := room.Default()
+					c := backfill.Default()
 					plannerConfig = &c
 				}
 				d, err := New(settings(0, 2), 1, plannerConfig)
@@ -70,7 +70,7 @@
 						done := jobs[i]
 						jobs[i] = jobs[len(jobs)-1]
 						jobs = jobs[:len(jobs)-1]
-						handle(balance.Event{Kind: balance.Noted, Request: done.id, Worker: done.at, Started: true})
+						handle(balance.Event{Kind: balance.Progressed, Request: done.id, Worker: done.at, Started: true})
 						handle(balance.Event{Kind: balance.Ended, Request: done.id, Worker: done.at, Result: balance.OK, Final: true,
 							Report: balance.Report{Present: true, InFlight: 3, Free: 1}})
 					}
--- a/internal/decide/decide.go
+++ b/internal/decision/decision.go
@@ -1,4 +1,4 @@
-// Package decide combines the decision module (package balance) with the reservation planner for
+// Package decision combines the decision module (package balance) with the reservation planner for
 // large jobs (package room) and the load messages between schedulers (package gossip).
 //
 // It has the interface of the decision module and replaces it for a host: the core, which works on
@@ -8,14 +8,14 @@
 //
 // The package is a state machine without I/O. It opens no sockets, reads no clock and chooses no
 // targets itself.
-package decide
+package decision
 
 import (
 	"time"
 
 	"cottonwell/balance"
+	"cottonwell/internal/backfill"
 	"cottonwell/internal/gossip"
-	"cottonwell/internal/room"
 )
 
 const (
@@ -55,13 +55,13 @@
 
 	Unreadable int // datagrams that could not be parsed, or had an invalid sender
 
-	planner *room.Planner // nil if disabled
+	planner *backfill.Planner // nil if disabled
 	plannerState
 }
 
 // New returns a Decider, or an error that names the invalid setting. If plannerConfig is nil, this
 // scheduler makes no reservations. It respects the reservations of others all the same.
-func New(s balance.Settings, seed uint64, plannerConfig *room.Config) (*Decider, error) {
+func New(s balance.Settings, seed uint64, plannerConfig *backfill.Config) (*Decider, error) {
 	module, err := balance.New(s, seed)
 	if err != nil {
 		return nil, err
@@ -83,9 +83,9 @@
 		return d.sendState(now, actions)
 	case ev.Kind == balance.TimerDue && ev.Timer == plannerTimer:
 		return d.plannerDue(now, actions)
-	case ev.Kind == balance.PeerSpoke:
+	case ev.Kind == balance.PeerLoads:
 		return d.receive(now, ev, actions)
-	case ev.Kind == balance.Listed && ev.List != balance.AskFailed:
+	case ev.Kind == balance.Listed && ev.List != balance.RequestFailed:
 		d.updateNames(ev)
 	}
 	late := d.finishesLate(now, ev)
@@ -98,6 +98,6 @@
 }
 
 // View returns the module's current estimate of a target. The bool is false if the target is not listed.
-func (d *Decider) View(now time.Duration, target string) (balance.View, bool) {
-	return d.module.View(now, target)
+func (d *Decider) View(now time.Duration, target string) (balance.WorkerEstimate, bool) {
+	return d.module.WorkerEstimate(now, target)
 }
--- a/internal/decide/decide_test.go
+++ b/internal/decision/decision_test.go
@@ -1,4 +1,4 @@
-package decide
+package decision
 
 import (
 	"fmt"
@@ -8,18 +8,18 @@
 	"github.com/stretchr/testify/require"
 
 	"cottonwell/balance"
+	"cottonwell/internal/backfill"
 	"cottonwell/internal/gossip"
-	"cottonwell/internal/room"
 )
 
 const ms = time.Millisecond
 
 func settings(self, fleet int) balance.Settings {
-	return balance.Settings{Self: self, Fleet: fleet, Zone: "a", Tick: 5 * ms, Peers: true, MaxAttempts: 3, TellsStart: true,
-		Cancel: true, ReportsFree: true, ColdFrom: 0.15, ColdFor: 24 * time.Second, FallMultiple: 3, FallWindow: time.Second,
+	return balance.Settings{Self: self, Fleet: fleet, Zone: "a", Tick: 5 * ms, Peers: true, MaxAttempts: 3, ReportsStart: true,
+		Cancel: true, ReportsFree: true, ColdFrom: 0.15, ColdFor: 24 * time.Second, CollapseMultiple: 3, CollapseWindow: time.Second,
 		Classes: []balance.Class{
-			{Name: "view", Aim: 75 * ms, Stretch: 2, Deadline: 5 * time.Second, Worth: 5},
-			{Name: "buy", Effect: balance.Keyed, Scope: balance.ScopeCell, Window: 7500 * ms, Aim: 75 * ms, Stretch: 2.5, Deadline: 5 * time.Second, Worth: 3},
+			{Name: "view", LatencyTarget: 75 * ms, Stretch: 2, Deadline: 5 * time.Second, Value: 5},
+			{Name: "buy", Effect: balance.Keyed, Scope: balance.ScopeCell, Window: 7500 * ms, LatencyTarget: 75 * ms, Stretch: 2.5, Deadline: 5 * time.Second, Value: 3},
 		}}
 }
 
@@ -86,7 +86,7 @@
 }
 
 func (h *testHost) believedLoad(id string) float64 {
-	v, ok := h.d.module.View(h.now, id)
+	v, ok := h.d.module.WorkerEstimate(h.now, id)
 	require.True(h, ok)
 	return v.Load
 }
@@ -99,15 +99,15 @@
 	}
 	sender, receiver := startHost(t, make(0), "s-1", "s-2"), startHost(t, make(1), "s-1", "s-2")
 	at := findAction(sender.handle(balance.Event{Kind: balance.Arrived, Request: 1, Class: "view", Budget: time.Second, Slots: 1}), balance.Send).Worker
-	message := findAction(sender.elapse(changesInterval), balance.Tell)
+	message := findAction(sender.elapse(changesInterval), balance.SendToPeers)
 	require.NotNil(t, message, "a change is sent at once")
-	require.Nil(t, findAction(sender.elapse(changesInterval), balance.Tell), "and only once")
-	require.NotNil(t, findAction(sender.elapse(fullStateInterval), balance.Tell), "the full state is sent periodically, as messages can be lost")
+	require.Nil(t, findAction(sender.elapse(changesInterval), balance.SendToPeers), "and only once")
+	require.NotNil(t, findAction(sender.elapse(fullStateInterval), balance.SendToPeers), "the full state is sent periodically, as messages can be lost")
 	sender.handle(balance.Event{Kind: balance.Ended, Request: 1, Worker: at, Result: balance.OK, Final: true})
 	messages := 0
 	for range 8 {
 		for _, a := range sender.elapse(fullStateInterval) {
-			if a.Kind == balance.Tell {
+			if a.Kind == balance.SendToPeers {
 				messages++
 			}
 		}
@@ -115,11 +115,11 @@
 	require.Equal(t, 1+trailingFullStates, messages, "an end is sent, and repeated in case a message is lost; after that nothing is sent")
 
 	before := receiver.believedLoad(at)
-	receiver.handle(balance.Event{Kind: balance.PeerSpoke, Who: 0, Raw: message.Raw})
+	receiver.handle(balance.Event{Kind: balance.PeerLoads, Peer: 0, Raw: message.Raw})
 	require.InDelta(t, before+1, receiver.believedLoad(at), 0.01)
 	// A malformed message, or one with an invalid sender, changes nothing and is counted.
-	for _, ev := range []balance.Event{{Who: -1, Raw: message.Raw}, {Who: 3, Raw: message.Raw}, {Who: 1, Raw: message.Raw}, {Who: 2, Raw: ""}, {Who: 2, Raw: "\x03"}, {Who: 2, Raw: "\x01ab"}} {
-		ev.Kind = balance.PeerSpoke
+	for _, ev := range []balance.Event{{Peer: -1, Raw: message.Raw}, {Peer: 3, Raw: message.Raw}, {Peer: 1, Raw: message.Raw}, {Peer: 2, Raw: ""}, {Peer: 2, Raw: "\x03"}, {Peer: 2, Raw: "\x01ab"}} {
+		ev.Kind = balance.PeerLoads
 		receiver.handle(ev)
 	}
 	require.Equal(t, 6, receiver.d.Unreadable)
@@ -144,7 +144,7 @@
 	h := startHost(t, d, ids...)
 	sent := func(acts []balance.Action) (out []balance.Action) {
 		for _, a := range acts {
-			if a.Kind == balance.Tell {
+			if a.Kind == balance.SendToPeers {
 				out = append(out, a)
 			}
 		}
@@ -155,7 +155,7 @@
 	require.Nil(t, full[0].To, "to all")
 	// A scheduler that is distant on the ring, but has work at the target of the next job, is notified too.
 	at := findAction(h.handle(balance.Event{Kind: balance.Arrived, Request: 1, Class: "view", Budget: time.Second, Slots: 1}), balance.Send).Worker
-	h.handle(balance.Event{Kind: balance.PeerSpoke, Who: 3, Raw: string(gossip.AppendChanges(nil, []gossip.Load{{Target: gossip.NameOf(at), Slots: 1}}))})
+	h.handle(balance.Event{Kind: balance.PeerLoads, Peer: 3, Raw: string(gossip.AppendChanges(nil, []gossip.Load{{Target: gossip.NameOf(at), Slots: 1}}))})
 	changes := sent(h.elapse(changesInterval))
 	require.Len(t, changes, 1)
 	require.Contains(t, changes[0].To, 3)
@@ -169,18 +169,18 @@
 	require.NoError(t, err)
 	receiver := startHost(t, other, ids...)
 	before := receiver.believedLoad(at)
-	receiver.handle(balance.Event{Kind: balance.PeerSpoke, Who: 40, Raw: changes[0].Raw})
+	receiver.handle(balance.Event{Kind: balance.PeerLoads, Peer: 40, Raw: changes[0].Raw})
 	require.InDelta(t, before+1, receiver.believedLoad(at), 0.01)
-	receiver.handle(balance.Event{Kind: balance.PeerSpoke, Who: 40, Raw: string(gossip.AppendChanges(nil, []gossip.Load{{Target: gossip.NameOf("s-00"), Slots: 2}}))})
+	receiver.handle(balance.Event{Kind: balance.PeerLoads, Peer: 40, Raw: string(gossip.AppendChanges(nil, []gossip.Load{{Target: gossip.NameOf("s-00"), Slots: 2}}))})
 	require.InDelta(t, before+1, receiver.believedLoad(at), 0.01, "a target that is not in the message keeps its load")
-	receiver.handle(balance.Event{Kind: balance.PeerSpoke, Who: 40, Raw: string(gossip.AppendChanges(nil, []gossip.Load{{Target: gossip.NameOf(at)}}))})
+	receiver.handle(balance.Event{Kind: balance.PeerLoads, Peer: 40, Raw: string(gossip.AppendChanges(nil, []gossip.Load{{Target: gossip.NameOf(at)}}))})
 	require.InDelta(t, before, receiver.believedLoad(at), 0.01, "no slots clear the load")
 	h.handle(balance.Event{Kind: balance.Ended, Request: 1, Worker: at, Result: balance.OK, Final: true})
 	all := sent(h.elapse(fullStateInterval))
 	last := all[len(all)-1]
 	require.Contains(t, last.To, 41, "a scheduler that received changes also receives the full state")
 	require.Less(t, len(last.To), 40, "and not every scheduler")
-	receiver.handle(balance.Event{Kind: balance.PeerSpoke, Who: 40, Raw: last.Raw})
+	receiver.handle(balance.Event{Kind: balance.PeerLoads, Peer: 40, Raw: last.Raw})
 	require.InDelta(t, before, receiver.believedLoad(at), 0.01)
 	require.Empty(t, other.peerLoads[40])
 }
@@ -219,11 +219,11 @@
 		for id := range uint64(40) {
 			if id%8 == 0 {
 				for _, a := range h.elapse(changesInterval) {
-					if a.Kind == balance.Tell {
+					if a.Kind == balance.SendToPeers {
 						messages = append(messages, a.Raw)
 					}
 				}
-				require.Nil(t, findAction(h.elapse(changesInterval), balance.Tell), "sent again though nothing changed")
+				require.Nil(t, findAction(h.elapse(changesInterval), balance.SendToPeers), "sent again though nothing changed")
 			}
 			if sent[id] != "" && sent[id] != ids[0] {
 				h.handle(balance.Event{Kind: balance.Ended, Request: id, Worker: sent[id], Result: balance.OK, Final: true})
@@ -244,7 +244,7 @@
 	require.NoError(t, err)
 	h := startHost(t, d, "s-1", "s-2", "s-3", "s-4", "s-5", "s-6", "s-7", "s-8", "s-9")
 	h.handle(balance.Event{Kind: balance.Arrived, Request: 1, Class: "view", Budget: time.Second, Slots: 1})
-	message := findAction(h.elapse(changesInterval), balance.Tell)
+	message := findAction(h.elapse(changesInterval), balance.SendToPeers)
 	require.NotNil(t, message)
 	require.Nil(t, message.To)
 }
@@ -258,14 +258,14 @@
 	h.handle(balance.Event{Kind: balance.Listed, List: balance.Changes, Members: append(gone, members("s-3", "s-1")...)})
 	require.Equal(t, map[gossip.Name][]string{gossip.NameOf("s-1").Short(): {"s-1"}, gossip.NameOf("s-3").Short(): {"s-3"}}, d.byShortName)
 	require.Equal(t, map[gossip.Name][]string{gossip.NameOf("s-1"): {"s-1"}, gossip.NameOf("s-3"): {"s-3"}}, d.byName)
-	h.handle(balance.Event{Kind: balance.Listed, List: balance.Whole, Members: members("s-4")})
+	h.handle(balance.Event{Kind: balance.Listed, List: balance.Complete, Members: members("s-4")})
 	require.Equal(t, map[gossip.Name][]string{gossip.NameOf("s-4").Short(): {"s-4"}}, d.byShortName)
 	require.Equal(t, map[gossip.Name][]string{gossip.NameOf("s-4"): {"s-4"}}, d.byName)
 }
 
 // reserveAll returns a planner configuration that may reserve all slots, even for one tenant.
-func reserveAll() *room.Config {
-	c := room.Default()
+func reserveAll() *backfill.Config {
+	c := backfill.Default()
 	c.Share, c.TenantShare = 1, 1
 	return &c
 }
@@ -278,7 +278,7 @@
 		if a == nil {
 			break
 		}
-		h.handle(balance.Event{Kind: balance.Noted, Request: id, Worker: a.Worker, Started: true})
+		h.handle(balance.Event{Kind: balance.Progressed, Request: id, Worker: a.Worker, Started: true})
 		ids = append(ids, id)
 	}
 	return ids
@@ -309,31 +309,31 @@
 	require.Len(t, ids, 4)
 	acts := h.handle(balance.Event{Kind: balance.Arrived, Request: 2000, Class: "buy", Tenant: "t", Budget: 5 * time.Second, Slots: 4})
 	require.Nil(t, findAction(acts, balance.Send))
-	require.Equal(t, 1, d.Room().Counts.Held)
+	require.Equal(t, 1, d.Planner().Counts.Reserved)
 	for _, a := range acts {
 		if a.Kind == balance.Wake {
 			require.Greater(t, a.After, 4*ms, "timer %x", a.Timer)
 		}
 	}
-	message := findAction(h.elapse(changesInterval), balance.Tell)
+	message := findAction(h.elapse(changesInterval), balance.SendToPeers)
 	require.NotNil(t, message)
 	var parsed gossip.Message
 	require.NoError(t, gossip.Parse(message.Raw, &parsed))
-	require.Equal(t, []gossip.Reservation{{Target: gossip.NameOf("s-1").Short(), Slots: 4, From: parsed.Holds[0].From}}, parsed.Holds)
+	require.Equal(t, []gossip.Reservation{{Target: gossip.NameOf("s-1").Short(), Slots: 4, From: parsed.Reservations[0].From}}, parsed.Reservations)
 	h.endJob(ids[0], 1)
 	require.Nil(t, findAction(h.handle(balance.Event{Kind: balance.Arrived, Request: 3000, Class: "view", Tenant: "t", Budget: 5 * time.Second, Slots: 1}), balance.Send),
 		"a small job took a reserved slot")
 	h.endJob(ids[1], 2)
 	h.endJob(ids[2], 3)
 	h.endJob(ids[3], 4)
-	require.Equal(t, 1, d.Room().Counts.LetGo[room.Placed])
+	require.Equal(t, 1, d.Planner().Counts.Released[backfill.Placed])
 
 	// Another scheduler receives the reservation, and respects it until the message is too old.
 	two, err := New(settings(1, 2), 2, reserveAll())
 	require.NoError(t, err)
 	other := startHost(t, two, "s-1")
 	other.handle(balance.Event{Kind: balance.Probed, Worker: "s-1", Report: balance.Report{Present: true, Free: 4}})
-	other.handle(balance.Event{Kind: balance.PeerSpoke, Who: 0, Raw: message.Raw})
+	other.handle(balance.Event{Kind: balance.PeerLoads, Peer: 0, Raw: message.Raw})
 	small := balance.Event{Kind: balance.Arrived, Request: 1, Class: "view", Tenant: "t", Budget: 5 * time.Second, Slots: 1}
 	require.Nil(t, findAction(other.handle(small), balance.Send))
 	require.NotNil(t, findAction(other.elapse(peerTimeout+2*changesInterval), balance.Refuse), "a small job is refused while the slots stay reserved")
--- a/internal/decide/fleet_bench_test.go
+++ b/internal/decision/fleet_bench_test.go
@@ -1,4 +1,4 @@
-package decide
+package decision
 
 import (
 	"fmt"
@@ -31,7 +31,7 @@
 				d.Step(now, &balance.Event{Kind: balance.Listed, List: balance.FromDisk, Members: members(ids...)}, nil)
 				for who := 1; who < peers; who++ {
 					m := gossip.Message{Loads: []gossip.Load{{Target: gossip.NameOf(ids[who%(targets/2)*2]), Slots: 1}}}
-					d.Step(now, &balance.Event{Kind: balance.PeerSpoke, Who: who, Raw: string(gossip.AppendFull(nil, &m))}, nil)
+					d.Step(now, &balance.Event{Kind: balance.PeerLoads, Peer: who, Raw: string(gossip.AppendFull(nil, &m))}, nil)
 				}
 				b.ReportAllocs()
 				b.ResetTimer()
@@ -57,7 +57,7 @@
 				}
 				var acts []balance.Action
 				for n := range b.N {
-					acts = d.Step(now, &balance.Event{Kind: balance.PeerSpoke, Who: 1 + n/2%(peers-1), Raw: raw[n%2]}, acts[:0])
+					acts = d.Step(now, &balance.Event{Kind: balance.PeerLoads, Peer: 1 + n/2%(peers-1), Raw: raw[n%2]}, acts[:0])
 				}
 			})
 			b.Run(fmt.Sprintf("request/targets=%d/peers=%d", targets, peers), func(b *testing.B) {
@@ -77,7 +77,7 @@
 						b.Fatal("not sent")
 					}
 					acts = d.Step(now, &balance.Event{Kind: balance.TimerDue, Timer: gossipTimer}, acts[:0])
-					acts = d.Step(now, &balance.Event{Kind: balance.Noted, Request: id, Worker: at, Started: true}, acts[:0])
+					acts = d.Step(now, &balance.Event{Kind: balance.Progressed, Request: id, Worker: at, Started: true}, acts[:0])
 					acts = d.Step(now, &balance.Event{Kind: balance.Ended, Request: id, Worker: at, Result: balance.OK, Final: true,
 						Report: balance.Report{Present: true, InFlight: 1, Free: 3}}, acts[:0])
 				}
--- a/internal/decide/gossip.go
+++ b/internal/decision/gossip.go
@@ -1,4 +1,4 @@
-package decide
+package decision
 
 import (
 	"cmp"
@@ -62,7 +62,7 @@
 	d.collectReservations(now)
 	// A datagram of changes cannot contain reservations. While there are any, or the last full state
 	// contained some, only full states are sent.
-	reserving, interval := len(d.outgoing.Holds) > 0 || d.sentReservations, fullStateInterval
+	reserving, interval := len(d.outgoing.Reservations) > 0 || d.sentReservations, fullStateInterval
 	if reserving {
 		interval = reservationInterval
 	}
@@ -71,7 +71,7 @@
 		to, needed := d.recipients(fullState)
 		message := &gossip.Message{Changes: true, Loads: d.changes}
 		if fullState {
-			d.fullStateAt, d.sentReservations, message = max(now, 1), len(d.outgoing.Holds) > 0, &d.outgoing
+			d.fullStateAt, d.sentReservations, message = max(now, 1), len(d.outgoing.Reservations) > 0, &d.outgoing
 		}
 		// The first message goes to all schedulers, as it ends the loads of an earlier process with the
 		// same number. Reservations go to all, as each scheduler plans around them.
@@ -89,7 +89,7 @@
 // them since the last message.
 func (d *Decider) collectLoads() {
 	d.outgoing.Loads, d.changes = d.outgoing.Loads[:0], d.changes[:0]
-	d.module.Out(func(id string, slots float64) {
+	d.module.InFlight(func(id string, slots float64) {
 		if n, ok := d.names[id]; ok {
 			d.outgoing.Loads = append(d.outgoing.Loads, gossip.Load{Target: n, Slots: slots})
 		}
@@ -129,10 +129,12 @@
 // short name with another. Otherwise receivers would take omitted targets for idle, or add the load
 // to the other target as well.
 func (d *Decider) appendMessage(m *gossip.Message, to []int, actions []balance.Action) []balance.Action {
-	emit := func() { actions = append(actions, balance.Action{Kind: balance.Tell, Raw: string(d.encoded), To: to}) }
+	emit := func() {
+		actions = append(actions, balance.Action{Kind: balance.SendToPeers, Raw: string(d.encoded), To: to})
+	}
 	shared := func(n gossip.Name) bool { return len(d.byShortName[n.Short()]) > 1 }
 	if m.FitsShortNames() && !slices.ContainsFunc(m.Loads, func(l gossip.Load) bool { return shared(l.Target) }) &&
-		!slices.ContainsFunc(m.Holds, func(h gossip.Reservation) bool { return shared(h.Target) }) {
+		!slices.ContainsFunc(m.Reservations, func(h gossip.Reservation) bool { return shared(h.Target) }) {
 		if d.encoded = d.encoded[:0]; m.Changes {
 			d.encoded = gossip.AppendChanges(d.encoded, m.Loads)
 		} else {
@@ -176,7 +178,7 @@
 	}
 	for _, l := range loads {
 		for _, id := range d.byName[l.Target] {
-			for place, last := d.module.Near(id); place <= last; place++ {
+			for place, last := d.module.NearbyDispatchers(id); place <= last; place++ {
 				add((place + d.settings.Fleet) % d.settings.Fleet)
 			}
 			for _, peer := range d.peersAt[id] {
@@ -238,28 +240,28 @@
 // receive processes a datagram of another scheduler. It counts and ignores a datagram that cannot
 // be parsed, or whose sender is invalid.
 func (d *Decider) receive(now time.Duration, ev *balance.Event, actions []balance.Action) []balance.Action {
-	if ev.Who < 0 || ev.Who >= d.settings.Fleet || ev.Who == d.settings.Self || gossip.Parse(ev.Raw, &d.received) != nil {
+	if ev.Peer < 0 || ev.Peer >= d.settings.Fleet || ev.Peer == d.settings.Self || gossip.Parse(ev.Raw, &d.received) != nil {
 		d.Unreadable++
 		return actions
 	}
-	d.receivedAt[ev.Who] = now
-	if d.peerLoads[ev.Who] == nil {
-		d.peerLoads[ev.Who] = map[string]float64{}
+	d.receivedAt[ev.Peer] = now
+	if d.peerLoads[ev.Peer] == nil {
+		d.peerLoads[ev.Peer] = map[string]float64{}
 	}
 	if !d.received.Changes {
-		for id := range d.peerLoads[ev.Who] {
+		for id := range d.peerLoads[ev.Peer] {
 			if d.received.LongNames {
 				if n := gossip.NameOf(id); n < d.received.First || n > d.received.Last {
 					continue
 				}
 			}
-			d.setPeerLoad(ev.Who, id, 0)
+			d.setPeerLoad(ev.Peer, id, 0)
 		}
 	}
 	for _, l := range d.received.Loads {
 		for _, id := range d.targetsNamed(l.Target) {
-			d.setPeerLoad(ev.Who, id, l.Slots)
+			d.setPeerLoad(ev.Peer, id, l.Slots)
 		}
 	}
-	return d.applyPeerState(now, ev.Who, d.received.Holds, actions)
+	return d.applyPeerState(now, ev.Peer, d.received.Reservations, actions)
 }
--- a/internal/decide/gossip_test.go
+++ b/internal/decision/gossip_test.go
@@ -1,4 +1,4 @@
-package decide
+package decision
 
 import (
 	"fmt"
@@ -14,7 +14,7 @@
 
 func sentMessages(acts []balance.Action) (out []balance.Action) {
 	for _, a := range acts {
-		if a.Kind == balance.Tell {
+		if a.Kind == balance.SendToPeers {
 			out = append(out, a)
 		}
 	}
@@ -60,7 +60,7 @@
 	require.NoError(t, err)
 	receiver := startHost(t, d, ids...)
 	for _, message := range sentMessages(sender.elapse(changesInterval)) {
-		receiver.handle(balance.Event{Kind: balance.PeerSpoke, Who: 0, Raw: message.Raw})
+		receiver.handle(balance.Event{Kind: balance.PeerLoads, Peer: 0, Raw: message.Raw})
 	}
 	for id, n := range out {
 		require.InDelta(t, n, d.peerLoads[0][id], 0.01, id)
@@ -70,7 +70,7 @@
 	for range 200 {
 		message := messages[rng.IntN(len(messages))] // some arrive several times, some not at all
 		require.LessOrEqual(t, len(message.Raw), gossip.MaxSize)
-		receiver.handle(balance.Event{Kind: balance.PeerSpoke, Who: 0, Raw: message.Raw})
+		receiver.handle(balance.Event{Kind: balance.PeerLoads, Peer: 0, Raw: message.Raw})
 		require.Len(t, d.peerLoads[0], len(out))
 	}
 	// A load whose end was lost is cleared by the full state, range by range of the names.
@@ -82,7 +82,7 @@
 	}
 	d.setPeerLoad(0, stale, 3)
 	for _, message := range messages {
-		receiver.handle(balance.Event{Kind: balance.PeerSpoke, Who: 0, Raw: message.Raw})
+		receiver.handle(balance.Event{Kind: balance.PeerLoads, Peer: 0, Raw: message.Raw})
 	}
 	require.Zero(t, d.peerLoads[0][stale])
 	require.Len(t, d.peerLoads[0], len(out))
@@ -118,21 +118,21 @@
 	require.NoError(t, err)
 	receiver := startHost(t, d, a, b)
 	for _, message := range sentMessages(sender.elapse(changesInterval)) {
-		receiver.handle(balance.Event{Kind: balance.PeerSpoke, Who: 0, Raw: message.Raw})
+		receiver.handle(balance.Event{Kind: balance.PeerLoads, Peer: 0, Raw: message.Raw})
 	}
 	require.Equal(t, map[string]float64{at: 1}, d.peerLoads[0])
 	require.Less(t, receiver.believedLoad(other), receiver.believedLoad(at))
 	for _, message := range sentMessages(sender.elapse(fullStateInterval)) {
-		receiver.handle(balance.Event{Kind: balance.PeerSpoke, Who: 0, Raw: message.Raw})
+		receiver.handle(balance.Event{Kind: balance.PeerLoads, Peer: 0, Raw: message.Raw})
 	}
 	require.Equal(t, map[string]float64{at: 1}, d.peerLoads[0])
 	sender.handle(balance.Event{Kind: balance.Ended, Request: 1, Worker: at, Result: balance.OK, Final: true})
 	for _, message := range sentMessages(sender.elapse(changesInterval)) {
-		receiver.handle(balance.Event{Kind: balance.PeerSpoke, Who: 0, Raw: message.Raw})
+		receiver.handle(balance.Event{Kind: balance.PeerLoads, Peer: 0, Raw: message.Raw})
 	}
 	require.Empty(t, d.peerLoads[0])
 	// A message with short names, as an old scheduler sends it, refers to both targets.
-	receiver.handle(balance.Event{Kind: balance.PeerSpoke, Who: 0, Raw: string(gossip.AppendChanges(nil, []gossip.Load{{Target: gossip.NameOf(a), Slots: 1}}))})
+	receiver.handle(balance.Event{Kind: balance.PeerLoads, Peer: 0, Raw: string(gossip.AppendChanges(nil, []gossip.Load{{Target: gossip.NameOf(a), Slots: 1}}))})
 	require.Equal(t, map[string]float64{a: 1, b: 1}, d.peerLoads[0])
 }
 
@@ -172,7 +172,7 @@
 	require.Nil(t, arrive(1))
 	require.NotNil(t, findAction(h.elapse(time.Second), balance.Refuse), "a request gets a response although no target is listed")
 	two := members("s-1", "s-1", "s-2", "s-1")
-	for _, scope := range []balance.ListScope{balance.Whole, balance.Changes, balance.FromDisk} {
+	for _, scope := range []balance.ListScope{balance.Complete, balance.Changes, balance.FromDisk} {
 		h.handle(balance.Event{Kind: balance.Listed, List: scope, Members: two})
 		require.Len(t, d.byName, 2)
 	}
@@ -182,16 +182,16 @@
 	h.handle(balance.Event{Kind: balance.Listed, List: balance.Changes, Members: members(long...)})
 	require.Len(t, d.names, 5002)
 	raw := string(gossip.AppendChanges(nil, []gossip.Load{{Target: gossip.NameOf(long[7]), Slots: 2}}))
-	h.handle(balance.Event{Kind: balance.PeerSpoke, Who: 9, Raw: raw})
+	h.handle(balance.Event{Kind: balance.PeerLoads, Peer: 9, Raw: raw})
 	require.NotEmpty(t, d.peerLoads[9])
-	h.handle(balance.Event{Kind: balance.Listed, List: balance.Whole, Members: members("s-2")})
+	h.handle(balance.Event{Kind: balance.Listed, List: balance.Complete, Members: members("s-2")})
 	require.Len(t, d.names, 1)
-	h.handle(balance.Event{Kind: balance.PeerSpoke, Who: 9, Raw: raw}) // about a target that is no longer listed
+	h.handle(balance.Event{Kind: balance.PeerLoads, Peer: 9, Raw: raw}) // about a target that is no longer listed
 	h.elapse(2 * peerTimeout)
 	require.Empty(t, d.peerLoads[9])
 	require.Empty(t, d.peersAt, "an unlisted target is forgotten with its last load")
 	for range 3 {
-		h.handle(balance.Event{Kind: balance.Listed, List: balance.Whole})
+		h.handle(balance.Event{Kind: balance.Listed, List: balance.Complete})
 		require.Empty(t, d.names)
 		require.Empty(t, d.byName)
 	}
--- a/internal/decide/room.go
+++ b/internal/decision/planner.go
@@ -1,4 +1,4 @@
-package decide
+package decision
 
 import (
 	"fmt"
@@ -8,16 +8,16 @@
 	"time"
 
 	"cottonwell/balance"
+	"cottonwell/internal/backfill"
 	"cottonwell/internal/gossip"
-	"cottonwell/internal/room"
 )
 
 // plannerState is the part of the Decider that serves the planner.
 type plannerState struct {
-	classes          []string               // class names by the planner's class number
-	plannerActions   []room.Action          // not yet applied to the module
-	peerReservations []room.PeerReservation // buffer for the reservations of one scheduler
-	peerTargets      [][]string             // targets in the last loads of each scheduler
+	classes          []string                   // class names by the planner's class number
+	plannerActions   []backfill.Action          // not yet applied to the module
+	peerReservations []backfill.PeerReservation // buffer for the reservations of one scheduler
+	peerTargets      [][]string                 // targets in the last loads of each scheduler
 }
 
 // millis converts a time of the module to the planner's unit.
@@ -32,7 +32,7 @@
 
 // startPlanner creates the planner, unless plannerConfig is nil. The settings take precedence over
 // plannerConfig for the scheduler's number, the fleet size and the classes.
-func (d *Decider) startPlanner(plannerConfig *room.Config) (err error) {
+func (d *Decider) startPlanner(plannerConfig *backfill.Config) (err error) {
 	if plannerConfig == nil {
 		return nil
 	}
@@ -42,7 +42,7 @@
 	for _, class := range d.settings.Classes {
 		config.Classes = append(config.Classes, class.Name)
 	}
-	if d.planner, err = room.New(config); err != nil {
+	if d.planner, err = backfill.New(config); err != nil {
 		return fmt.Errorf("reservation planner: %w", err)
 	}
 	d.classes = config.Classes
@@ -50,18 +50,18 @@
 	return nil
 }
 
-// Room returns the planner for inspection, or nil if it is disabled.
-func (d *Decider) Room() *room.Planner { return d.planner }
+// Planner returns the planner for inspection, or nil if it is disabled.
+func (d *Decider) Planner() *backfill.Planner { return d.planner }
 
 // notifyPlanner passes an event to the planner. exchangeActions applies the resulting actions.
-func (d *Decider) notifyPlanner(now time.Duration, ev room.Event) {
+func (d *Decider) notifyPlanner(now time.Duration, ev backfill.Event) {
 	d.plannerActions = d.planner.Step(millis(now), &ev, d.plannerActions)
 }
 
 // finishesLate reports whether this event ends a request after its latency target. It must run
 // before the module processes the event, as the module then forgets the request.
 func (d *Decider) finishesLate(now time.Duration, ev *balance.Event) (late bool) {
-	return d.planner != nil && ev.Kind == balance.Ended && ev.Final && !d.module.InTime(now, ev.Request)
+	return d.planner != nil && ev.Kind == balance.Ended && ev.Final && !d.module.OnTime(now, ev.Request)
 }
 
 // afterModule passes an event and the module's actions on it to the planner, and the planner's
@@ -73,25 +73,25 @@
 	switch ev.Kind {
 	case balance.Listed:
 		d.updatePlannerTargets(now, ev)
-	case balance.Noted:
+	case balance.Progressed:
 		if ev.Started {
-			d.notifyPlanner(now, room.Event{Kind: room.AttemptStarted, Flow: ev.Request})
+			d.notifyPlanner(now, backfill.Event{Kind: backfill.AttemptStarted, Flow: ev.Request})
 		}
 	case balance.Probed:
 		d.measureTarget(now, ev.Worker, &ev.Report)
 	case balance.Ended:
-		d.notifyPlanner(now, room.Event{Kind: room.AttemptEnded, Flow: ev.Request, OK: ev.Result == balance.OK})
+		d.notifyPlanner(now, backfill.Event{Kind: backfill.AttemptEnded, Flow: ev.Request, OK: ev.Result == balance.OK})
 		d.measureTarget(now, ev.Worker, &ev.Report)
 		if ev.Final {
-			d.notifyPlanner(now, room.Event{Kind: room.FlowDone, Flow: ev.Request, OK: ev.Result == balance.OK && !late})
+			d.notifyPlanner(now, backfill.Event{Kind: backfill.FlowDone, Flow: ev.Request, OK: ev.Result == balance.OK && !late})
 		}
 	case balance.Departed:
-		d.notifyPlanner(now, room.Event{Kind: room.FlowDone, Flow: ev.Request})
+		d.notifyPlanner(now, backfill.Event{Kind: backfill.FlowDone, Flow: ev.Request})
 	}
 	actions = d.exchangeActions(now, ev, first, actions)
 	if ev.Kind == balance.Arrived || ev.Kind == balance.Ended && !ev.Final {
-		if latest, anywhere, queued := d.module.Held(now, ev.Request); queued && anywhere {
-			wait := room.Event{Kind: room.FlowQueued, Flow: ev.Request, LatestStart: millis(latest)}
+		if latest, anywhere, queued := d.module.Queued(now, ev.Request); queued && anywhere {
+			wait := backfill.Event{Kind: backfill.FlowQueued, Flow: ev.Request, LatestStart: millis(latest)}
 			if ev.Kind == balance.Arrived {
 				wait.Class, wait.Tenant, wait.Need, wait.Memory, wait.MachineKind = ev.Class, ev.Tenant, ev.Slots, ev.Memory, d.machineKindOf(ev.Class)
 			}
@@ -137,42 +137,42 @@
 func (d *Decider) forwardModuleAction(now time.Duration, ev *balance.Event, action *balance.Action) {
 	switch action.Kind {
 	case balance.Send:
-		sent := room.Event{Kind: room.AttemptSent, Flow: action.Request, Target: action.Worker}
+		sent := backfill.Event{Kind: backfill.AttemptSent, Flow: action.Request, Target: action.Worker}
 		if ev.Kind == balance.Arrived && ev.Request == action.Request {
 			sent.Class, sent.Need, sent.Memory = ev.Class, ev.Slots, ev.Memory
 		}
 		d.notifyPlanner(now, sent)
 		d.measureTarget(now, action.Worker, nil)
 	case balance.Refuse, balance.Fail:
-		d.notifyPlanner(now, room.Event{Kind: room.FlowDone, Flow: action.Request})
+		d.notifyPlanner(now, backfill.Event{Kind: backfill.FlowDone, Flow: action.Request})
 	}
 }
 
 // applyPlannerAction applies one action of the planner: it requests a timer, or updates the
 // reservation at a target in the module.
-func (d *Decider) applyPlannerAction(now time.Duration, action *room.Action, actions []balance.Action) []balance.Action {
-	d.event = balance.Event{Kind: balance.Kept, Worker: action.Target, Request: action.Flow}
+func (d *Decider) applyPlannerAction(now time.Duration, action *backfill.Action, actions []balance.Action) []balance.Action {
+	d.event = balance.Event{Kind: balance.Reserved, Worker: action.Target, Request: action.Flow}
 	switch action.Kind {
-	case room.Wake:
+	case backfill.Wake:
 		return append(actions, balance.Action{Kind: balance.Wake, Timer: plannerTimer, After: max(0, durationOf(action.At)-now)})
-	case room.Reserve:
-		keep := &balance.Keep{Request: action.Flow, Spare: action.SpareSlots, Most: action.BackfillSlots}
+	case backfill.Reserve:
+		keep := &balance.Reservation{Request: action.Flow, SpareSlots: action.SpareSlots, BackfillSlots: action.BackfillSlots}
 		for i, until := range action.BackfillUntil {
 			if until > millis(now) {
-				if keep.Last == nil {
-					keep.Last = make(map[string]time.Duration, len(action.BackfillUntil))
+				if keep.BackfillUntil == nil {
+					keep.BackfillUntil = make(map[string]time.Duration, len(action.BackfillUntil))
 				}
-				keep.Last[d.classes[i]] = durationOf(until)
+				keep.BackfillUntil[d.classes[i]] = durationOf(until)
 			}
 		}
-		d.event.Keep = keep
+		d.event.Reservation = keep
 	}
 	return d.module.Step(now, &d.event, actions)
 }
 
 // updatePlannerTargets passes a list of targets, or changes to it, to the planner.
 func (d *Decider) updatePlannerTargets(now time.Duration, ev *balance.Event) {
-	if ev.List == balance.AskFailed {
+	if ev.List == balance.RequestFailed {
 		return
 	}
 	if ev.List != balance.Changes {
@@ -182,7 +182,7 @@
 		}
 		for _, id := range d.planner.Targets() {
 			if !listed[id] {
-				d.notifyPlanner(now, room.Event{Kind: room.TargetDown, Target: id})
+				d.notifyPlanner(now, backfill.Event{Kind: backfill.TargetDown, Target: id})
 			}
 		}
 	}
@@ -192,12 +192,12 @@
 			continue // reservations there stay; the module sends nothing there until the target is ready
 		}
 		if m.State != balance.Ready {
-			d.notifyPlanner(now, room.Event{Kind: room.TargetDown, Target: m.ID})
+			d.notifyPlanner(now, backfill.Event{Kind: backfill.TargetDown, Target: m.ID})
 			continue
 		}
 		h := fnv.New32a()
 		h.Write([]byte(m.ID))
-		d.notifyPlanner(now, room.Event{Kind: room.TargetUp, Target: m.ID, Hash: h.Sum32(), MachineKind: m.Kind, AllowedClasses: m.Classes})
+		d.notifyPlanner(now, backfill.Event{Kind: backfill.TargetUp, Target: m.ID, Hash: h.Sum32(), MachineKind: m.Kind, AllowedClasses: m.Classes})
 		d.measureTarget(now, m.ID, nil)
 	}
 }
@@ -205,12 +205,12 @@
 // measureTarget passes the module's estimate of a target to the planner, with the free memory if
 // report contains it. report may be nil.
 func (d *Decider) measureTarget(now time.Duration, id string, report *balance.Report) {
-	view, ok := d.module.View(now, id)
+	view, ok := d.module.WorkerEstimate(now, id)
 	if !ok {
 		return
 	}
-	measured := room.Event{Kind: room.TargetMeasured, Target: id, Slots: view.Slots, Busy: view.Load, Memory: -1, Slowdown: view.Slow, Cold: view.Cold,
-		UsableFrom: millis(view.Usable)}
+	measured := backfill.Event{Kind: backfill.TargetMeasured, Target: id, Slots: view.Slots, Busy: view.Load, Memory: -1, Slowdown: view.Slowness, Cold: view.Cold,
+		UsableFrom: millis(view.UsableFrom)}
 	if report != nil && report.Present && report.Memory > 0 {
 		measured.Memory = report.Memory
 	}
@@ -223,26 +223,26 @@
 		return actions
 	}
 	first := len(actions)
-	d.notifyPlanner(now, room.Event{Kind: room.TimerDue})
+	d.notifyPlanner(now, backfill.Event{Kind: backfill.TimerDue})
 	d.event = balance.Event{Kind: balance.TimerDue}
 	return d.exchangeActions(now, &d.event, first, actions)
 }
 
 // collectReservations lists this scheduler's reservations for the next full state.
 func (d *Decider) collectReservations(now time.Duration) {
-	d.outgoing.Holds = d.outgoing.Holds[:0]
+	d.outgoing.Reservations = d.outgoing.Reservations[:0]
 	if d.planner == nil {
 		return
 	}
 	d.planner.OwnReservations(func(id string, slots, out, neededAt float64) {
-		d.outgoing.Holds = append(d.outgoing.Holds, gossip.Reservation{Target: gossip.NameOf(id), Slots: slots, OtherSlots: out, From: neededAt - millis(now)})
+		d.outgoing.Reservations = append(d.outgoing.Reservations, gossip.Reservation{Target: gossip.NameOf(id), Slots: slots, OtherSlots: out, From: neededAt - millis(now)})
 	})
 }
 
 // applyPeerState passes the loads and reservations of another scheduler to the module and the planner.
 func (d *Decider) applyPeerState(now time.Duration, peer int, reservations []gossip.Reservation, actions []balance.Action) []balance.Action {
 	first := len(actions)
-	d.event = balance.Event{Kind: balance.PeerSpoke, Who: peer, Loads: d.peerLoads[peer]}
+	d.event = balance.Event{Kind: balance.PeerLoads, Peer: peer, Loads: d.peerLoads[peer]}
 	actions = d.module.Step(now, &d.event, actions)
 	if d.planner == nil {
 		return actions
@@ -258,10 +258,10 @@
 	d.peerReservations = d.peerReservations[:0]
 	for _, h := range reservations {
 		for _, id := range d.targetsNamed(h.Target) {
-			d.peerReservations = append(d.peerReservations, room.PeerReservation{Target: id, Slots: h.Slots, From: millis(now) + h.From})
+			d.peerReservations = append(d.peerReservations, backfill.PeerReservation{Target: id, Slots: h.Slots, From: millis(now) + h.From})
 		}
 	}
-	d.notifyPlanner(now, room.Event{Kind: room.PeerReserved, Peer: peer, Reservations: d.peerReservations})
-	d.event = balance.Event{Kind: balance.PeerSpoke}
+	d.notifyPlanner(now, backfill.Event{Kind: backfill.PeerReserved, Peer: peer, Reservations: d.peerReservations})
+	d.event = balance.Event{Kind: balance.PeerLoads}
 	return d.exchangeActions(now, &d.event, first, actions)
 }
--- a/internal/shopfront/clients.go
+++ b/internal/emulatedsite/clients.go
@@ -1,4 +1,4 @@
-package shopfront
+package emulatedsite
 
 import (
 	"context"
@@ -15,10 +15,10 @@
 	"cottonwell/internal/emulator"
 )
 
-// Play sends the load, each request at its arrival time, and returns the result. It returns after the
+// RunLoad sends the load, each request at its arrival time, and returns the result. It returns after the
 // final response of the last request, or stops sending when ctx is done. If onFinished is not nil, Play
 // calls it with the status of each finished request; 0 means no response.
-func (s *Shop) Play(ctx context.Context, seed uint64, onFinished func(status int)) *emulator.Result {
+func (s *Site) RunLoad(ctx context.Context, seed uint64, onFinished func(status int)) *emulator.Result {
 	result := emulator.NewResult(s.spec)
 	s.mu.Lock()
 	s.arrivals = s.spec.Arrivals(seed)
@@ -71,15 +71,15 @@
 		})
 	}
 	inFlight.Wait()
-	result.Violations = s.Broken()
-	_, result.Room.Held = s.Held()
+	result.Violations = s.Violations()
+	_, result.Reservations.Reserved = s.ReservedSlots()
 	result.Finish()
 	return result
 }
 
 // arrival returns the arrival for a request ID that request assigned, or nil if the ID is unknown.
 // The caller must hold mu.
-func (s *Shop) arrival(id string) *emulator.Arrival {
+func (s *Site) arrival(id string) *emulator.Arrival {
 	text, _, ok := strings.Cut(id, "-")
 	n, err := strconv.ParseUint(text, 16, 32)
 	if !ok || err != nil || int(n) >= len(s.arrivals) {
@@ -90,7 +90,7 @@
 
 // request sends one request. It retries a refused request immediately if the client has retries left. It
 // returns the last status, 0 for no response, and the milliseconds since arrivesAt.
-func (s *Shop) request(ctx context.Context, client *http.Client, i int, a *emulator.Arrival, arrivesAt float64) (status int, latency float64) {
+func (s *Site) request(ctx context.Context, client *http.Client, i int, a *emulator.Arrival, arrivesAt float64) (status int, latency float64) {
 	c := &s.spec.Classes[a.Class]
 	for try := 0; ; try++ {
 		remaining := arrivesAt + float64(c.ClientTimeout) - s.now()
@@ -145,7 +145,7 @@
 
 // scheduleFaults schedules the faults of the workers, relative to now. Faults of scheduler processes are up
 // to the caller that started these processes.
-func (s *Shop) scheduleFaults(seed uint64) {
+func (s *Site) scheduleFaults(seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 0x7ab))
 	for _, t := range s.spec.SiteFaults {
 		n := int(math.Ceil(float64(t.Fraction) * float64(len(s.workers))))
--- a/internal/shopfront/discovery.go
+++ b/internal/emulatedsite/discovery.go
@@ -1,4 +1,4 @@
-package shopfront
+package emulatedsite
 
 import (
 	"encoding/json"
@@ -27,7 +27,7 @@
 
 // discoveryList returns the list for a scheduler. It is always a whole snapshot, as no scheduler requires the
 // changes alone.
-func (s *Shop) discoveryList(scheduler, index int) discoveryList {
+func (s *Site) discoveryList(scheduler, index int) discoveryList {
 	result := discoveryList{Index: index, Snapshot: true}
 	for _, w := range s.workers {
 		w.mu.Lock()
@@ -45,7 +45,7 @@
 
 // discoveryHandler serves the list to one scheduler. A watch receives a new list after each change, and an empty
 // line every 2 s otherwise.
-func (s *Shop) discoveryHandler(scheduler int) http.Handler {
+func (s *Site) discoveryHandler(scheduler int) http.Handler {
 	return http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/discovery/hosts" {
 			http.NotFound(rw, r)
@@ -88,7 +88,7 @@
 }
 
 // recordNotified records that a scheduler received the list of the given time.
-func (s *Shop) recordNotified(scheduler int, listTime float64) {
+func (s *Site) recordNotified(scheduler int, listTime float64) {
 	for _, w := range s.workers {
 		w.withLock(func(now float64) {
 			if w.notReadySince > 0 && w.notReadySince <= listTime && w.notifiedAt[scheduler] == 0 {
@@ -98,9 +98,9 @@
 	}
 }
 
-// Woke must be called when a scheduler's process continues after a stall. Changes sent during the stall count as
+// Resumed must be called when a scheduler's process continues after a stall. Changes sent during the stall count as
 // received now.
-func (s *Shop) Woke(scheduler int) {
+func (s *Site) Resumed(scheduler int) {
 	for _, w := range s.workers {
 		w.withLock(func(now float64) {
 			if w.notifiedAt[scheduler] > 0 {
--- a/internal/shopfront/ways.go
+++ b/internal/emulatedsite/links.go
@@ -1,4 +1,4 @@
-package shopfront
+package emulatedsite
 
 import (
 	"errors"
@@ -18,7 +18,7 @@
 // script to them.
 type linkListener struct {
 	net.Listener
-	site              *Shop
+	site              *Site
 	linkKind          string // faults.Discovery or faults.Targets
 	scheduler, target int
 }
@@ -94,12 +94,12 @@
 
 // waitForLink waits until data may pass on a link. It returns errLinkBroken if a fault breaks the link, and net.ErrClosed if
 // the connection or the site is closed. Before the load starts there are no faults.
-func (s *Shop) waitForLink(linkKind string, scheduler, target int, closed <-chan struct{}) error {
+func (s *Site) waitForLink(linkKind string, scheduler, target int, closed <-chan struct{}) error {
 	for delayed := false; ; {
 		s.mu.Lock()
-		loadStarted, link := s.loadStart > 0, faults.Way{}
+		loadStarted, link := s.loadStart > 0, faults.LinkState{}
 		if loadStarted {
-			link = s.links.Script.Way(s.now()-s.loadStart, linkKind, scheduler, target)
+			link = s.links.Script.ConnectionState(s.now()-s.loadStart, linkKind, scheduler, target)
 		}
 		s.mu.Unlock()
 		wait := 5 * time.Millisecond
--- a/internal/shopfront/shopfront.go
+++ b/internal/emulatedsite/site.go
@@ -1,4 +1,4 @@
-// Package shopfront runs an emulated site on loopback sockets, in front of which real scheduler
+// Package emulatedsite runs an emulated site on loopback sockets, in front of which real scheduler
 // processes run. It follows the platform's published protocol: workers accept jobs over HTTP and
 // report their progress by callbacks, discovery offers a list with a watch, and the datagrams between
 // schedulers pass through links with delay and loss.
@@ -9,7 +9,7 @@
 //
 // The package starts no scheduler processes. Faults of these processes (kill, stall, restart) are up to
 // the caller.
-package shopfront
+package emulatedsite
 
 import (
 	"context"
@@ -32,8 +32,8 @@
 	"cottonwell/internal/units"
 )
 
-// Shop is an emulated site on sockets. Its times are milliseconds since start, unless stated otherwise.
-type Shop struct {
+// Site is an emulated site on sockets. Its times are milliseconds since start, unless stated otherwise.
+type Site struct {
 	spec            *emulator.Spec
 	log             *slog.Logger
 	start           time.Time
@@ -41,12 +41,12 @@
 
 	workers            []*worker
 	callbackClient     *http.Client
-	peerConns          []*net.UDPConn // peerConns[i] receives the datagrams addressed to scheduler i
-	broadcastConn      *net.UDPConn   // receives the datagrams addressed to all schedulers
-	links              *faults.Net    // between schedulers; guarded by mu
-	loadStart          float64        // start of the load and of the fault script; 0: not started; guarded by mu
-	discoveryListeners []net.Listener // one discovery address per scheduler
-	firstEntries       [][]listEntry  // by scheduler: the list at its first start; guarded by mu
+	peerConns          []*net.UDPConn         // peerConns[i] receives the datagrams addressed to scheduler i
+	broadcastConn      *net.UDPConn           // receives the datagrams addressed to all schedulers
+	links              *faults.DatagramFaults // between schedulers; guarded by mu
+	loadStart          float64                // start of the load and of the fault script; 0: not started; guarded by mu
+	discoveryListeners []net.Listener         // one discovery address per scheduler
+	firstEntries       [][]listEntry          // by scheduler: the list at its first start; guarded by mu
 	schedulers         []Node
 	goroutines         sync.WaitGroup
 	ctx                context.Context
@@ -85,7 +85,7 @@
 
 // worker is an emulated worker with its sockets. mu guards the mutable fields and the embedded model.
 type worker struct {
-	site *Shop
+	site *Site
 	*emulator.Worker
 	index         int
 	spec          emulator.WorkerSpec
@@ -112,18 +112,18 @@
 }
 
 // Open binds the site's sockets. The site serves nothing before Run.
-func Open(spec *emulator.Spec, seed uint64, log *slog.Logger) (*Shop, error) {
+func Open(spec *emulator.Spec, seed uint64, log *slog.Logger) (*Site, error) {
 	if err := spec.Check(); err != nil {
 		return nil, err
 	}
-	s := &Shop{spec: spec, log: log, start: time.Now(), rng: rand.New(rand.NewPCG(seed, 0xfe)), listChanged: make(chan struct{}), listIndex: 1,
+	s := &Site{spec: spec, log: log, start: time.Now(), rng: rand.New(rand.NewPCG(seed, 0xfe)), listChanged: make(chan struct{}), listIndex: 1,
 		requests: map[string]*requestRecord{}, violations: map[string]int{},
 		callbackClient: &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}
 	s.startUnixMillis = float64(s.start.UnixNano()) / 1e6
-	s.links = &faults.Net{Base: float64(spec.DatagramDelay), Rng: rand.New(rand.NewPCG(seed, 0xda7a)), Script: slices.Concat(spec.Faults,
+	s.links = &faults.DatagramFaults{MeanDelay: float64(spec.DatagramDelay), Rng: rand.New(rand.NewPCG(seed, 0xda7a)), Script: slices.Concat(spec.SchedulerFaults,
 		faults.Script{{Kind: faults.Loss, Lasts: units.Millis(math.Inf(1)), Share: spec.DatagramLoss}})}
 	s.ctx, s.cancel = context.WithCancel(context.Background())
-	fail := func(err error) (*Shop, error) {
+	fail := func(err error) (*Site, error) {
 		s.Close()
 		return nil, fmt.Errorf("emulated site: %w", err)
 	}
@@ -187,7 +187,7 @@
 }
 
 // Close closes all sockets and waits for the site's goroutines to end.
-func (s *Shop) Close() {
+func (s *Site) Close() {
 	s.cancel()
 	for _, ln := range s.discoveryListeners {
 		ln.Close()
@@ -208,16 +208,16 @@
 }
 
 // Nodes returns the addresses of the schedulers.
-func (s *Shop) Nodes() []Node { return s.schedulers }
+func (s *Site) Nodes() []Node { return s.schedulers }
 
 // Length returns the duration of the load in milliseconds.
-func (s *Shop) Length() float64 { return float64(s.spec.Length) }
+func (s *Site) Length() float64 { return float64(s.spec.Length) }
 
 // now returns the milliseconds since Open.
-func (s *Shop) now() float64 { return float64(time.Since(s.start)) / 1e6 }
+func (s *Site) now() float64 { return float64(time.Since(s.start)) / 1e6 }
 
 // Run starts to serve on all sockets and returns. The site serves until Close.
-func (s *Shop) Run() {
+func (s *Site) Run() {
 	for i, ln := range s.discoveryListeners {
 		s.serve(ln, s.discoveryHandler(i))
 	}
@@ -235,7 +235,7 @@
 }
 
 // serve starts an HTTP server on a listener.
-func (s *Shop) serve(ln net.Listener, h http.Handler) {
+func (s *Site) serve(ln net.Listener, h http.Handler) {
 	srv := &http.Server{Handler: h, ReadHeaderTimeout: 5 * time.Second, IdleTimeout: 60 * time.Second,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, connKey{}, c) }}
 	s.goroutines.Go(func() {
@@ -248,7 +248,7 @@
 }
 
 // forwardDatagrams forwards the datagrams that arrive on conn to the receivers, except to the sender itself.
-func (s *Shop) forwardDatagrams(conn *net.UDPConn, receivers []int) {
+func (s *Site) forwardDatagrams(conn *net.UDPConn, receivers []int) {
 	schedulerByAddr := map[netip.AddrPort]int{}
 	for i, n := range s.schedulers {
 		schedulerByAddr[netip.MustParseAddrPort(n.PeerListen)] = i
@@ -281,9 +281,9 @@
 
 // sendDatagram sends a datagram from one scheduler to another. The current faults of the link may delay, drop, repeat or
 // change it.
-func (s *Shop) sendDatagram(from, to int, raw string) {
+func (s *Site) sendDatagram(from, to int, raw string) {
 	s.mu.Lock()
-	deliveries := s.links.Pass(s.now()-s.loadStart, from, to, raw)
+	deliveries := s.links.Deliver(s.now()-s.loadStart, from, to, raw)
 	s.mu.Unlock()
 	address := net.UDPAddrFromAddrPort(netip.MustParseAddrPort(s.schedulers[to].PeerListen))
 	for _, d := range deliveries {
@@ -295,7 +295,7 @@
 }
 
 // recordReservations records the reservations that a scheduler announces in a datagram.
-func (s *Shop) recordReservations(scheduler int, raw string) {
+func (s *Site) recordReservations(scheduler int, raw string) {
 	var message gossip.Message
 	if gossip.Parse(raw, &message) != nil {
 		s.recordViolation("datagram-unreadable")
@@ -305,7 +305,7 @@
 	defer s.mu.Unlock()
 	previous := s.reservedSlots[scheduler]
 	s.reservedSlots[scheduler] = map[gossip.Name]float64{}
-	for _, h := range message.Holds {
+	for _, h := range message.Reservations {
 		if previous[h.Target] == 0 {
 			s.reservationCount++
 		}
@@ -313,8 +313,8 @@
 	}
 }
 
-// Held returns the slots that all schedulers have reserved now, and the number of reservations announced so far.
-func (s *Shop) Held() (slots float64, reservations int) {
+// ReservedSlots returns the slots that all schedulers have reserved now, and the number of reservations announced so far.
+func (s *Site) ReservedSlots() (slots float64, reservations int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, m := range s.reservedSlots {
@@ -326,14 +326,14 @@
 }
 
 // recordViolation counts a violation of a rule.
-func (s *Shop) recordViolation(rule string) {
+func (s *Site) recordViolation(rule string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.violations[rule]++
 }
 
-// Broken returns the number of violations so far by rule.
-func (s *Shop) Broken() map[string]int {
+// Violations returns the number of violations so far by rule.
+func (s *Site) Violations() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := map[string]int{}
@@ -345,7 +345,7 @@
 
 // Config returns the platform's JSON configuration for a start of a scheduler. It contains the current discovery list or,
 // with firstList, the list of the scheduler's first start.
-func (s *Shop) Config(scheduler int, seed uint64, firstList bool) ([]byte, error) {
+func (s *Site) Config(scheduler int, seed uint64, firstList bool) ([]byte, error) {
 	spec, node := s.spec, s.schedulers[scheduler]
 	known := s.discoveryList(scheduler, 0)
 	s.mu.Lock()
@@ -379,7 +379,7 @@
 	for _, t := range spec.Tenants {
 		tenants = append(tenants, map[string]any{"name": t.Name, "share": float64(t.Share), "allowance-per-s": t.Allowance})
 	}
-	settings := map[string]any{"me": scheduler, "tenants": tenants, "over-share-worth": moduleSettings.BeyondWorth, "fleet-size": spec.Schedulers, "locality": moduleSettings.Zone, "localities": spec.Zones, "kinds": kinds,
+	settings := map[string]any{"me": scheduler, "tenants": tenants, "over-share-worth": moduleSettings.BeyondShareValue, "fleet-size": spec.Schedulers, "locality": moduleSettings.Zone, "localities": spec.Zones, "kinds": kinds,
 		"tick-us": moduleSettings.Tick.Microseconds(), "counted-by": "request", "family": "jobs", "registry-mode": "subscribe", "classes": classes,
 		"family-info": map[string]any{"class-kind": classKinds, "class-stretch": classStretches, "tells-start": true, "progress-us": 0, "report-x0": "free slots", "report-x1": "free memory"},
 		"load-info":   map[string]any{"how": "piggyback", "names": []any{"active", "waiting", "x0", "x1"}},
--- a/internal/shopfront/shopfront_test.go
+++ b/internal/emulatedsite/site_test.go
@@ -1,4 +1,4 @@
-package shopfront
+package emulatedsite
 
 import (
 	"bufio"
@@ -22,7 +22,7 @@
 
 // openSite opens a site of two schedulers and two workers, and runs it. listenAddrs replace the addresses of the first
 // schedulers.
-func openSite(t *testing.T, listenAddrs ...string) *Shop {
+func openSite(t *testing.T, listenAddrs ...string) *Site {
 	spec := &emulator.Spec{Schedulers: 2, Level: 0.2, Length: 1000, Retries: 1,
 		Kinds:   []emulator.KindSpec{{Name: "m", Count: 2, Slots: 2, Queue: 1, Memory: 4}},
 		Classes: []emulator.ClassSpec{{Name: "buy", Share: 1, RunTime: 20, LatencyTarget: 100, TargetStretch: 2, Keyed: true}}}
@@ -51,7 +51,7 @@
 	require.NoError(t, err)
 	require.Equal(t, 1, c.Settings.Self)
 	require.Equal(t, 5*time.Millisecond, c.Settings.Tick)
-	require.True(t, c.Settings.TellsStart && c.Settings.ReportsFree && c.Settings.Peers)
+	require.True(t, c.Settings.ReportsStart && c.Settings.ReportsFree && c.Settings.Peers)
 	require.Len(t, c.Known.Endpoints, 2)
 }
 
@@ -94,7 +94,7 @@
 	states := []any{nextEvent()["state"], nextEvent()["state"]}
 	require.ElementsMatch(t, []any{"started", "done"}, states)
 	require.Equal(t, 400, send(0, "ffffffff-0"), "an ID that no client sent")
-	require.Empty(t, s.Broken())
+	require.Empty(t, s.Violations())
 
 	// One job runs, one is queued, and the third is rejected. Then a second copy is sent to another worker.
 	s.mu.Lock()
@@ -108,7 +108,7 @@
 	require.Equal(t, 202, send(0, "00000002-0"))
 	require.Equal(t, 503, send(0, "00000003-0"))
 	require.Equal(t, 202, send(1, "00000001-0"))
-	require.Equal(t, 1, s.Broken()["two-attempts-out"])
+	require.Equal(t, 1, s.Violations()["two-attempts-out"])
 	// After a cancellation, a further attempt isn't a second open attempt.
 	req, err := http.NewRequest("DELETE", baseURL(0)+"/jobs/00000002-0", nil)
 	require.NoError(t, err)
@@ -116,7 +116,7 @@
 	require.NoError(t, err)
 	resp.Body.Close()
 	require.Equal(t, 202, send(1, "00000002-0"))
-	require.Equal(t, 1, s.Broken()["two-attempts-out"])
+	require.Equal(t, 1, s.Violations()["two-attempts-out"])
 }
 
 func TestDiscoveryAnnouncesChanges(t *testing.T) {
@@ -171,12 +171,12 @@
 		defer s.mu.Unlock()
 		s.loadStart, s.links.Script = s.now(), script
 	}
-	setFaults(faults.Fault{Kind: faults.Break, Lasts: untilEnd, From: []int{1}, Ways: faults.Discovery}, faults.Fault{Kind: faults.Break, Lasts: untilEnd, To: []int{1}, Ways: faults.Targets})
+	setFaults(faults.Fault{Kind: faults.Break, Lasts: untilEnd, From: []int{1}, Links: faults.Discovery}, faults.Fault{Kind: faults.Break, Lasts: untilEnd, To: []int{1}, Links: faults.Targets})
 	require.NoError(t, get(listURL(0)))
 	require.Error(t, get(listURL(1)))
 	require.NoError(t, get(targetURL(0, 0)))
 	require.Error(t, get(targetURL(1, 0)))
-	setFaults(faults.Fault{Kind: faults.Cut, Lasts: untilEnd, From: []int{0}, Ways: faults.Targets})
+	setFaults(faults.Fault{Kind: faults.Cut, Lasts: untilEnd, From: []int{0}, Links: faults.Targets})
 	done := make(chan error, 1)
 	go func() { done <- get(targetURL(0, 0)) }()
 	require.NoError(t, get(targetURL(0, 1)))
@@ -188,7 +188,7 @@
 	setFaults()
 	require.NoError(t, <-done, "the request continues after the fault")
 	start := time.Now()
-	setFaults(faults.Fault{Kind: faults.Delay, Lasts: untilEnd, Size: 50, Ways: faults.Discovery})
+	setFaults(faults.Fault{Kind: faults.Delay, Lasts: untilEnd, Size: 50, Links: faults.Discovery})
 	require.NoError(t, get(listURL(1)))
 	require.GreaterOrEqual(t, time.Since(start), 50*time.Millisecond)
 }
--- a/internal/shopfront/worker.go
+++ b/internal/emulatedsite/worker.go
@@ -1,4 +1,4 @@
-package shopfront
+package emulatedsite
 
 import (
 	"bytes"
@@ -37,7 +37,7 @@
 }
 
 // afterMillis calls do after ms milliseconds, unless the site is closed by then.
-func (s *Shop) afterMillis(ms float64, do func()) {
+func (s *Site) afterMillis(ms float64, do func()) {
 	time.AfterFunc(time.Duration(ms*1e6), func() {
 		if s.ctx.Err() == nil {
 			do()
@@ -152,7 +152,7 @@
 }
 
 // recordAttempt records an attempt and counts the rules that it violates.
-func (s *Shop) recordAttempt(id string, w *worker, arrival *emulator.Arrival, now float64) {
+func (s *Site) recordAttempt(id string, w *worker, arrival *emulator.Arrival, now float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	record := s.requests[id]
@@ -178,7 +178,7 @@
 }
 
 // recordEnd records the end of an attempt.
-func (s *Shop) recordEnd(id string) {
+func (s *Site) recordEnd(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if record := s.requests[id]; record != nil && record.openAttempts > 0 {
@@ -248,7 +248,7 @@
 }
 
 // sendCallback sends a callback until it receives a response, with up to 10 tries.
-func (s *Shop) sendCallback(url string, data []byte) {
+func (s *Site) sendCallback(url string, data []byte) {
 	for range 10 {
 		resp, err := s.callbackClient.Post(url, "application/json", bytes.NewReader(data))
 		if err == nil {
@@ -295,7 +295,7 @@
 }
 
 // extraReportDelay returns the delay in ms that late-reports faults add to load reports.
-func (s *Shop) extraReportDelay(now float64) (delay float64) {
+func (s *Site) extraReportDelay(now float64) (delay float64) {
 	for _, t := range s.spec.SiteFaults {
 		if t.Kind == "late-reports" && now >= float64(t.At) && now < float64(t.At+t.Duration) {
 			delay += float64(t.Delay)
--- a/internal/emulator/throng_test.go
+++ b/internal/emulator/isolated_test.go
@@ -90,9 +90,9 @@
 		spec = isolatedSite(seed)
 		spec.newPolicy = newRandomPolicy
 		random := simulate(t, spec, seed, nil)
-		t.Logf("seed %d: value %.3f, random policy %.3f; cold workers overloaded: %d and %d", seed, module.Worth, random.Worth,
+		t.Logf("seed %d: value %.3f, random policy %.3f; cold workers overloaded: %d and %d", seed, module.Value, random.Value,
 			module.Violations["cold-pushed-over"], random.Violations["cold-pushed-over"])
-		assert.Greater(t, module.Worth, random.Worth, "seed %d", seed)
+		assert.Greater(t, module.Value, random.Value, "seed %d", seed)
 		assert.Empty(t, module.Violations, "seed %d", seed)
 	}
 }
--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -3,17 +3,17 @@
 import (
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"cottonwell/internal/room"
+	"cottonwell/internal/backfill"
 )
 
 // GroupStats summarizes the outcomes and latencies of one group of requests.
 type GroupStats struct {
-	Requests  int     `json:"asked"`
-	InTime    int     `json:"in_time"` // served within the latency target
-	Served    int     `json:"served"`
-	P50       float64 `json:"p50_ms"`
-	P99       float64 `json:"p99_ms"`
-	latencies *hdrhistogram.Histogram
+	Requests     int     `json:"asked"`
+	WithinTarget int     `json:"in_time"` // served within the latency target
+	Served       int     `json:"served"`
+	P50          float64 `json:"p50_ms"`
+	P99          float64 `json:"p99_ms"`
+	latencies    *hdrhistogram.Histogram
 }
 
 // Share returns the fraction of the requests that were served within their latency targets.
@@ -22,43 +22,43 @@
 	if g.Requests == 0 {
 		return 1
 	}
-	return float64(g.InTime) / float64(g.Requests)
+	return float64(g.WithinTarget) / float64(g.Requests)
 }
 
 // Result is the outcome of one run.
 type Result struct {
-	Small           GroupStats     `json:"small"`
-	Large           GroupStats     `json:"large"`  // requests of the maximum number of slots; Small holds the others
-	Worth           float64        `json:"worth"`  // fraction of the requested value that was served within the latency targets
-	WithinAllowance GroupStats     `json:"within"` // requests within their tenants' allowances
-	Sends           int            `json:"sends"`
-	CrossZone       int            `json:"far"`       // sends to a worker in another zone
-	Datagrams       int            `json:"datagrams"` // between schedulers, counted once per receiver
-	Refused         int            `json:"refused"`
-	Failed          int            `json:"failed"`
-	Departed        int            `json:"left"`   // requests whose clients disconnected early
-	Lost            int            `json:"lost"`   // requests without a response
-	Violations      map[string]int `json:"broken"` // count by the name of the violated rule
-	Room            RoomCounts     `json:"room"`
+	Small           GroupStats        `json:"small"`
+	Large           GroupStats        `json:"large"`  // requests of the maximum number of slots; Small holds the others
+	Value           float64           `json:"worth"`  // fraction of the requested value that was served within the latency targets
+	WithinAllowance GroupStats        `json:"within"` // requests within their tenants' allowances
+	Sends           int               `json:"sends"`
+	CrossZone       int               `json:"far"`       // sends to a worker in another zone
+	Datagrams       int               `json:"datagrams"` // between schedulers, counted once per receiver
+	Refused         int               `json:"refused"`
+	Failed          int               `json:"failed"`
+	Departed        int               `json:"left"`   // requests whose clients disconnected early
+	Lost            int               `json:"lost"`   // requests without a response
+	Violations      map[string]int    `json:"broken"` // count by the name of the violated rule
+	Reservations    ReservationCounts `json:"room"`
 	maxSlots        int
 	offeredValue    float64 // the value of all recorded requests
 }
 
-// RoomCounts sums the reservation counters over the planners of all schedulers.
-type RoomCounts struct {
-	Held    int            `json:"held"`    // reservations made
-	Moved   int            `json:"moved"`   // of these, made because an earlier reservation of the flow failed
-	Gaps    int            `json:"gaps"`    // small jobs sent into a gap
-	Wrong   int            `json:"wrong"`   // of these, jobs that ended too late
-	LetGo   map[string]int `json:"let_go"`  // released reservations by reason
-	Scale   float64        `json:"scale"`   // the lowest governor scale of any planner at the end of the run
-	Refused int            `json:"refused"` // reservations not made because of the share or the governor
+// ReservationCounts sums the reservation counters over the planners of all schedulers.
+type ReservationCounts struct {
+	Reserved       int            `json:"held"`    // reservations made
+	Moved          int            `json:"moved"`   // of these, made because an earlier reservation of the flow failed
+	Backfilled     int            `json:"gaps"`    // small jobs sent into a gap
+	BackfilledLate int            `json:"wrong"`   // of these, jobs that ended too late
+	Released       map[string]int `json:"let_go"`  // released reservations by reason
+	Scale          float64        `json:"scale"`   // the lowest governor scale of any planner at the end of the run
+	Refused        int            `json:"refused"` // reservations not made because of the share or the governor
 }
 
 func newResult(s *Spec) Result {
 	newHistogram := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, 100_000_000, 3) }
 	return Result{Small: GroupStats{latencies: newHistogram()}, Large: GroupStats{latencies: newHistogram()}, WithinAllowance: GroupStats{latencies: newHistogram()}, Violations: map[string]int{}, maxSlots: s.MaxSlots(),
-		Room: RoomCounts{LetGo: map[string]int{}, Scale: 1}}
+		Reservations: ReservationCounts{Released: map[string]int{}, Scale: 1}}
 }
 
 // NewResult returns an empty result, for a caller that records requests sent over sockets.
@@ -84,7 +84,7 @@
 	}
 	r.offeredValue += value
 	if served && latency <= s.LatencyTarget(a) {
-		r.Worth += value
+		r.Value += value
 	}
 	for _, g := range groups {
 		g.Requests++
@@ -93,37 +93,37 @@
 		}
 		g.Served++
 		if latency <= s.LatencyTarget(a) {
-			g.InTime++
+			g.WithinTarget++
 		}
 		_ = g.latencies.RecordValue(int64(max(1, latency*1000))) // a latency beyond the histogram's range also exceeds its target and is counted so above
 	}
 }
 
 func (r *Result) finish() {
-	r.Worth /= max(r.offeredValue, 1e-9)
+	r.Value /= max(r.offeredValue, 1e-9)
 	for _, g := range []*GroupStats{&r.Small, &r.Large, &r.WithinAllowance} {
 		g.P50, g.P99 = float64(g.latencies.ValueAtQuantile(50))/1000, float64(g.latencies.ValueAtQuantile(99))/1000
 	}
 }
 
-func (r *Result) addRoom(p *room.Planner) {
+func (r *Result) addRoom(p *backfill.Planner) {
 	counts := &p.Counts
-	r.Room.Held += counts.Held
-	r.Room.Moved += counts.Moved
-	r.Room.Gaps += counts.Gaps
-	r.Room.Wrong += counts.Wrong
-	r.Room.Refused += counts.Refused
-	for i, n := range counts.LetGo {
+	r.Reservations.Reserved += counts.Reserved
+	r.Reservations.Moved += counts.Moved
+	r.Reservations.Backfilled += counts.Backfilled
+	r.Reservations.BackfilledLate += counts.BackfilledLate
+	r.Reservations.Refused += counts.Refused
+	for i, n := range counts.Released {
 		if n > 0 {
-			r.Room.LetGo[room.Reason(i).String()] += n
+			r.Reservations.Released[backfill.Reason(i).String()] += n
 		}
 	}
 	scale, _ := p.Scale()
-	r.Room.Scale = min(r.Room.Scale, scale)
+	r.Reservations.Scale = min(r.Reservations.Scale, scale)
 }
 
-// Rules returns the number of rule violations, summed over all rules.
-func (r *Result) Rules() (n int) {
+// ViolationCount returns the number of rule violations, summed over all rules.
+func (r *Result) ViolationCount() (n int) {
 	for _, x := range r.Violations {
 		n += x
 	}
--- a/internal/emulator/world.go
+++ b/internal/emulator/simulation.go
@@ -8,18 +8,18 @@
 	"time"
 
 	"cottonwell/balance"
-	"cottonwell/internal/decide"
+	"cottonwell/internal/backfill"
+	"cottonwell/internal/decision"
 	"cottonwell/internal/faults"
-	"cottonwell/internal/room"
 	"cottonwell/internal/vtime"
 )
 
 // Settings returns the settings of the decision module for the scheduler with index self.
 func (s *Spec) Settings(self int) balance.Settings {
 	out := balance.Settings{Self: self, Fleet: s.Schedulers, Zone: s.Zones[self%len(s.Zones)], Tick: 5 * time.Millisecond, ReportsFree: true,
-		TellsStart: true, MaxAttempts: 3, Cancel: true, Probes: true, Peers: !s.Isolated, Subscribe: true, StreamsPerConn: 1, ConnIdle: 30 * time.Second,
-		DialTimeout: 250 * time.Millisecond, AnswerSlack: 20 * time.Millisecond, AskWithin: 10 * time.Second, ColdFrom: 0.15,
-		BeyondWorth: float64(s.BeyondAllowanceValue), ColdFor: 24 * time.Second, DrainGrace: 250 * time.Millisecond, FallMultiple: 3, FallWindow: time.Second,
+		ReportsStart: true, MaxAttempts: 3, Cancel: true, Probes: true, Peers: !s.Isolated, Subscribe: true, StreamsPerConn: 1, ConnIdle: 30 * time.Second,
+		DialTimeout: 250 * time.Millisecond, ResponseSlack: 20 * time.Millisecond, MaxQueryInterval: 10 * time.Second, ColdFrom: 0.15,
+		BeyondShareValue: float64(s.BeyondAllowanceValue), ColdFor: 24 * time.Second, DrainGrace: 250 * time.Millisecond, CollapseMultiple: 3, CollapseWindow: time.Second,
 		Prices: balance.Prices{Probe: 0.0019, CrossZone: 0.059},
 		Goal:   balance.Goal{Whole: 0.45, WorstWindow: 0.15, WorstClass: 0.3}}
 	for _, t := range s.Tenants {
@@ -38,7 +38,7 @@
 		out.ColdFor = toDuration(cold)
 	}
 	for _, c := range s.Classes {
-		x := balance.Class{Name: c.Name, Aim: toDuration(float64(c.LatencyTarget)), Stretch: c.TargetStretch, Deadline: toDuration(float64(c.ClientTimeout)), Worth: c.Value}
+		x := balance.Class{Name: c.Name, LatencyTarget: toDuration(float64(c.LatencyTarget)), Stretch: c.TargetStretch, Deadline: toDuration(float64(c.ClientTimeout)), Value: c.Value}
 		if c.Keyed {
 			x.Effect, x.Scope, x.Window = balance.Keyed, balance.ScopeCell, toDuration(float64(c.KeyWindow))
 		}
@@ -49,11 +49,11 @@
 
 func toDuration(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// World runs the emulated site in virtual time against schedulers in the same process. The same Spec,
+// Simulation runs the emulated site in virtual time against schedulers in the same process. The same Spec,
 // seed and plan give the same Result.
-type World struct {
+type Simulation struct {
 	spec  *Spec
-	links *faults.Net // between the schedulers
+	links *faults.DatagramFaults // between the schedulers
 	rng   *rand.Rand
 	vtime.Queue
 	lastID      uint64 // last identifier of an attempt or of a retried request
@@ -119,18 +119,18 @@
 	result     balance.Result
 }
 
-// NewWorld returns a World that is ready to Run. If plan is nil, the schedulers make no reservations.
-func NewWorld(spec *Spec, seed uint64, plan *room.Config) (*World, error) {
+// NewSimulation returns a World that is ready to Run. If plan is nil, the schedulers make no reservations.
+func NewSimulation(spec *Spec, seed uint64, plan *backfill.Config) (*Simulation, error) {
 	if err := spec.Check(); err != nil {
 		return nil, err
 	}
-	for _, f := range spec.Faults {
-		if !f.Kind.OfWay() && f.Kind != faults.Kill || f.Ways != "" || f.Old {
+	for _, f := range spec.SchedulerFaults {
+		if !f.Kind.IsLinkFault() && f.Kind != faults.Kill || f.Links != "" || f.OldList {
 			return nil, fmt.Errorf("fault %s: virtual time supports only kills of schedulers and faults on the links between them", f.Kind)
 		}
 	}
-	w := &World{spec: spec, rng: rand.New(rand.NewPCG(seed, 0x0117)), Queue: vtime.Queue{Now: 1e9}, workersByID: map[string]*simWorker{}, flows: map[uint64]*flow{}}
-	w.links = &faults.Net{Base: float64(spec.DatagramDelay), Rng: rand.New(rand.NewPCG(seed, 0xda7a)), Script: slices.Concat(spec.Faults,
+	w := &Simulation{spec: spec, rng: rand.New(rand.NewPCG(seed, 0x0117)), Queue: vtime.Queue{Now: 1e9}, workersByID: map[string]*simWorker{}, flows: map[uint64]*flow{}}
+	w.links = &faults.DatagramFaults{MeanDelay: float64(spec.DatagramDelay), Rng: rand.New(rand.NewPCG(seed, 0xda7a)), Script: slices.Concat(spec.SchedulerFaults,
 		faults.Script{{Kind: faults.Loss, Lasts: 2 * spec.Length, Share: spec.DatagramLoss}})}
 	w.Result = newResult(spec)
 	for i, ws := range spec.Workers() {
@@ -156,12 +156,12 @@
 }
 
 // start starts the process of a scheduler, without state from an earlier incarnation.
-func (w *World) start(s *scheduler, seed uint64, plan *room.Config) error {
+func (w *Simulation) start(s *scheduler, seed uint64, plan *backfill.Config) error {
 	settings, schedulerSeed := w.spec.Settings(s.index), seed+uint64(s.index)*77+uint64(s.incarnation)
 	if w.spec.newPolicy != nil {
 		s.policy = w.spec.newPolicy(settings, schedulerSeed)
 	} else {
-		decider, err := decide.New(settings, schedulerSeed, plan)
+		decider, err := decision.New(settings, schedulerSeed, plan)
 		if err != nil {
 			return err
 		}
@@ -174,11 +174,13 @@
 }
 
 // networkDelay draws the delay of one message, in ms.
-func (w *World) networkDelay() float64 { return float64(w.spec.NetDelay) * (0.8 + 0.4*w.rng.Float64()) }
+func (w *Simulation) networkDelay() float64 {
+	return float64(w.spec.NetDelay) * (0.8 + 0.4*w.rng.Float64())
+}
 
 // Run runs the simulation until every request has its final response, and returns the Result. It stops at
 // the latest 20 s after the end of the load and counts the open requests as unanswered.
-func (w *World) Run() *Result {
+func (w *Simulation) Run() *Result {
 	end := w.Now + float64(w.spec.Length) + 20_000
 	for w.Now < end && (w.openFlows > 0 || w.Now < end-20_000) && w.Next(math.Inf(1)) {
 	}
@@ -186,8 +188,8 @@
 		w.Result.Violations["unanswered"] += w.openFlows
 	}
 	for _, s := range w.schedulers {
-		if d, ok := s.policy.(*decide.Decider); ok && d.Room() != nil {
-			w.Result.addRoom(d.Room())
+		if d, ok := s.policy.(*decision.Decider); ok && d.Planner() != nil {
+			w.Result.addRoom(d.Planner())
 		}
 	}
 	w.Result.finish()
@@ -195,7 +197,7 @@
 }
 
 // step passes an event to a scheduler's policy and performs the resulting actions.
-func (w *World) step(s *scheduler, ev balance.Event) {
+func (w *Simulation) step(s *scheduler, ev balance.Event) {
 	if !s.alive {
 		return
 	}
@@ -208,7 +210,7 @@
 }
 
 // perform carries out one action of a scheduler.
-func (w *World) perform(s *scheduler, action *balance.Action) {
+func (w *Simulation) perform(s *scheduler, action *balance.Action) {
 	incarnation := s.incarnation
 	sameProcess := func() bool { return s.alive && s.incarnation == incarnation }
 	switch action.Kind {
@@ -248,10 +250,10 @@
 	case balance.Subscribe:
 		w.After(2*w.networkDelay(), func() {
 			if sameProcess() {
-				w.sendSnapshot(s, balance.Whole)
+				w.sendSnapshot(s, balance.Complete)
 			}
 		})
-	case balance.Tell:
+	case balance.SendToPeers:
 		if len(action.Raw) > 256 {
 			w.Result.Violations["datagram-too-long"]++
 		}
@@ -267,25 +269,25 @@
 }
 
 // sendDatagram sends a datagram to another scheduler. The faults of the link may delay, drop, repeat or change it.
-func (w *World) sendDatagram(s, to *scheduler, raw string) {
+func (w *Simulation) sendDatagram(s, to *scheduler, raw string) {
 	if to == s {
 		return
 	}
 	w.Result.Datagrams++
-	for _, d := range w.links.Pass(w.Now-1e9, s.index, to.index, raw) {
+	for _, d := range w.links.Deliver(w.Now-1e9, s.index, to.index, raw) {
 		w.After(d.After, func() {
-			w.step(to, balance.Event{Kind: balance.PeerSpoke, Who: s.index, Raw: d.Raw})
+			w.step(to, balance.Event{Kind: balance.PeerLoads, Peer: s.index, Raw: d.Raw})
 		})
 	}
 }
 
 // discoveryEntry returns the worker's entry in the discovery list.
-func (w *World) discoveryEntry(p *simWorker) balance.Member {
+func (w *Simulation) discoveryEntry(p *simWorker) balance.Member {
 	return balance.Member{ID: p.ID, Zone: p.Zone, Kind: p.Kind, Cell: p.Cell, State: p.discoveryState, Weight: 1, Started: toDuration(p.StartedAt)}
 }
 
 // sendSnapshot passes the whole discovery list to a scheduler.
-func (w *World) sendSnapshot(s *scheduler, scope balance.ListScope) {
+func (w *Simulation) sendSnapshot(s *scheduler, scope balance.ListScope) {
 	ev := balance.Event{Kind: balance.Listed, List: scope}
 	for _, p := range w.workers {
 		if p.discoveryState != balance.Gone {
@@ -297,7 +299,7 @@
 }
 
 // recordNotified records that a scheduler received the worker's current entry.
-func (w *World) recordNotified(s *scheduler, p *simWorker) {
+func (w *Simulation) recordNotified(s *scheduler, p *simWorker) {
 	if p.discoveryState == balance.Ready {
 		delete(s.notReadySince, p.ID)
 		s.knownStart[p.ID] = p.StartedAt
@@ -307,7 +309,7 @@
 }
 
 // announce changes a worker's state in discovery after the discovery delay and then notifies all schedulers.
-func (w *World) announce(p *simWorker, state balance.State) {
+func (w *Simulation) announce(p *simWorker, state balance.State) {
 	w.After(float64(w.spec.DiscoveryDelay)*(0.5+w.rng.Float64()), func() {
 		p.discoveryState = state
 		for _, s := range w.schedulers {
@@ -321,13 +323,13 @@
 }
 
 // notify passes a change of one worker to a scheduler.
-func (w *World) notify(s *scheduler, p *simWorker) {
+func (w *Simulation) notify(s *scheduler, p *simWorker) {
 	w.recordNotified(s, p)
 	w.step(s, balance.Event{Kind: balance.Listed, List: balance.Changes, Members: []balance.Member{w.discoveryEntry(p)}})
 }
 
 // arrive delivers a request to its scheduler, or to the next live one.
-func (w *World) arrive(id uint64, a Arrival, firstSentAt float64, retries int) {
+func (w *Simulation) arrive(id uint64, a Arrival, firstSentAt float64, retries int) {
 	s := w.schedulers[a.Scheduler]
 	for i := 0; !s.alive && i < len(w.schedulers); i++ {
 		s = w.schedulers[(a.Scheduler+i)%len(w.schedulers)]
@@ -357,13 +359,13 @@
 }
 
 // close marks a flow as finished.
-func (w *World) close(f *flow) {
+func (w *Simulation) close(f *flow) {
 	f.finished = true
 	w.openFlows--
 }
 
 // send starts an attempt at a worker and counts the rules that it violates.
-func (w *World) send(s *scheduler, f *flow, id string) {
+func (w *Simulation) send(s *scheduler, f *flow, id string) {
 	p := w.workersByID[id]
 	if f == nil || p == nil {
 		w.Result.Violations["send-unknown"]++
@@ -382,7 +384,7 @@
 }
 
 // checkRules counts the rules that a new attempt violates.
-func (w *World) checkRules(s *scheduler, f *flow, a *attempt) {
+func (w *Simulation) checkRules(s *scheduler, f *flow, a *attempt) {
 	violations := w.Result.Violations
 	if f.finished {
 		violations["send-after-answer"]++
@@ -405,7 +407,7 @@
 }
 
 // offer delivers an attempt to its worker.
-func (w *World) offer(a *attempt) {
+func (w *Simulation) offer(a *attempt) {
 	p, f := a.worker, a.flow
 	if a.concluded {
 		return
@@ -433,7 +435,7 @@
 }
 
 // advance simulates a worker up to the present and schedules itself for the worker's next event.
-func (w *World) advance(p *simWorker) {
+func (w *Simulation) advance(p *simWorker) {
 	p.Advance(w.Now, func(at float64, n JobEvent) { w.handleJobEvent(p, n) })
 	next := p.NextEvent(w.Now)
 	if next < p.nextEventAt || p.nextEventAt <= w.Now {
@@ -449,7 +451,7 @@
 }
 
 // handleJobEvent reports a start or an end of a job to the scheduler of its request.
-func (w *World) handleJobEvent(p *simWorker, n JobEvent) {
+func (w *Simulation) handleJobEvent(p *simWorker, n JobEvent) {
 	a := p.attempts[n.Ref]
 	if a == nil {
 		return
@@ -460,7 +462,7 @@
 	case Started:
 		w.After(w.networkDelay(), func() {
 			if !a.concluded && f.scheduler.incarnation == f.incarnation {
-				w.step(f.scheduler, balance.Event{Kind: balance.Noted, Request: f.id, Attempt: a.index, Worker: p.ID, Started: true})
+				w.step(f.scheduler, balance.Event{Kind: balance.Progressed, Request: f.id, Attempt: a.index, Worker: p.ID, Started: true})
 			}
 		})
 	case Done:
@@ -473,7 +475,7 @@
 }
 
 // report returns the worker's load report. The report is delayed and noisy.
-func (w *World) report(p *simWorker) balance.Report {
+func (w *Simulation) report(p *simWorker) balance.Report {
 	if w.Now-p.sampledAt > float64(w.spec.ReportInterval)*(0.5+w.rng.Float64()) || p.sampledAt == 0 {
 		delay := float64(w.spec.ReportDelay)
 		for _, t := range w.spec.SiteFaults {
@@ -500,7 +502,7 @@
 }
 
 // conclude notifies the scheduler of the end of an attempt. Only the first call for an attempt has an effect.
-func (w *World) conclude(a *attempt, result balance.Result) {
+func (w *Simulation) conclude(a *attempt, result balance.Result) {
 	f := a.flow
 	if a.concluded {
 		return
@@ -527,7 +529,7 @@
 }
 
 // endUnserved ends a request with a refusal or a failure. Clients with retries left send it again immediately.
-func (w *World) endUnserved(f *flow, refused bool) {
+func (w *Simulation) endUnserved(f *flow, refused bool) {
 	if f == nil || f.finished {
 		w.Result.Violations["second-answer"]++
 		return
@@ -554,7 +556,7 @@
 
 // record adds a finished request, including all its retries, to the Result. It omits requests that arrived during the
 // warm-up or whose clients disconnect early.
-func (w *World) record(f *flow, served bool) {
+func (w *Simulation) record(f *flow, served bool) {
 	if f.recorded || f.firstSentAt-1e9 < float64(w.spec.Warmup) || f.arrival.DepartsAfter > 0 {
 		return
 	}
--- a/internal/emulator/world_test.go
+++ b/internal/emulator/simulation_test.go
@@ -7,8 +7,8 @@
 
 	"github.com/stretchr/testify/require"
 
+	"cottonwell/internal/backfill"
 	"cottonwell/internal/faults"
-	"cottonwell/internal/room"
 	"cottonwell/internal/units"
 )
 
@@ -23,14 +23,14 @@
 		Tenants: []TenantSpec{{Name: "cricket-league", Share: 0.5}, {Name: "tuk-race", Share: 0.5}}}
 }
 
-func simulate(t *testing.T, s *Spec, seed uint64, plan *room.Config) *Result {
-	w, err := NewWorld(s, seed, plan)
+func simulate(t *testing.T, s *Spec, seed uint64, plan *backfill.Config) *Result {
+	w, err := NewSimulation(s, seed, plan)
 	require.NoError(t, err)
 	return w.Run()
 }
 
 func TestSameSeedGivesSameResult(t *testing.T) {
-	plan := room.Default()
+	plan := backfill.Default()
 	s := smallSite()
 	s.SiteFaults = []SiteFaultSpec{{Kind: "crash", At: 2000, Duration: 3500, Fraction: 0.22}, {Kind: "late-reports", At: 2000, Duration: 3500, Delay: 1500}}
 	one, two := simulate(t, s, 5, &plan), simulate(t, s, 5, &plan)
@@ -63,7 +63,7 @@
 		"the share of wide jobs alternates": func(s *Spec) {
 			s.SiteFaults = []SiteFaultSpec{{Kind: "wide", At: 0, Duration: 8000, Fraction: 0.4, Interval: 1500}}
 			w := units.Share(0.05)
-			s.Wide = &w
+			s.WideShare = &w
 		},
 		"memory is short, 30% of datagrams lost": func(s *Spec) {
 			s.DatagramLoss = 0.3
@@ -74,14 +74,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			plan := room.Default()
+			plan := backfill.Default()
 			s := smallSite()
 			change(s)
 			r := simulate(t, s, 11, &plan)
 			require.Empty(t, r.Violations)
 			require.Greater(t, r.Small.Requests, 1000)
 			if name != "overload" {
-				require.Positive(t, r.Room.Held)
+				require.Positive(t, r.Reservations.Reserved)
 			}
 		})
 	}
@@ -155,8 +155,8 @@
 	r := simulate(t, s, 3, nil)
 	require.Greater(t, r.WithinAllowance.Requests, r.WithinAllowance.Served-1)
 	require.Less(t, r.WithinAllowance.Requests, r.Small.Requests+r.Large.Requests)
-	require.Greater(t, r.Worth, 0.5)
-	require.LessOrEqual(t, r.Worth, 1.0)
+	require.Greater(t, r.Value, 0.5)
+	require.LessOrEqual(t, r.Value, 1.0)
 }
 
 // The full-size site has 300 schedulers and 200 workers in four zones, and each scheduler receives some requests per
@@ -167,9 +167,9 @@
 	}
 	s := fullSizeSite()
 	s.Length, s.Warmup = 6000, 2000
-	s.Faults = faults.Script{{Kind: faults.Loss, Lasts: 6000, Share: 0.05}, {Kind: faults.Kill, At: 3000, Lasts: 500}}
+	s.SchedulerFaults = faults.Script{{Kind: faults.Loss, Lasts: 6000, Share: 0.05}, {Kind: faults.Kill, At: 3000, Lasts: 500}}
 	for i := range s.Schedulers * 7 / 10 {
-		s.Faults[1].From = append(s.Faults[1].From, i)
+		s.SchedulerFaults[1].From = append(s.SchedulerFaults[1].From, i)
 	}
 	r := simulate(t, s, 3, nil)
 	require.Empty(t, r.Violations)
--- a/internal/emulator/troubles.go
+++ b/internal/emulator/sitefaults.go
@@ -6,13 +6,13 @@
 	"math/rand/v2"
 
 	"cottonwell/balance"
+	"cottonwell/internal/backfill"
 	"cottonwell/internal/faults"
-	"cottonwell/internal/room"
 	"cottonwell/internal/units"
 )
 
 // scheduleFaults schedules the faults of the specification that act on workers and scheduler processes.
-func (w *World) scheduleFaults(seed uint64, plan *room.Config) {
+func (w *Simulation) scheduleFaults(seed uint64, plan *backfill.Config) {
 	rng := rand.New(rand.NewPCG(seed, 0x7ab))
 	for _, t := range w.spec.SiteFaults {
 		workerCount := int(math.Ceil(float64(t.Fraction) * float64(len(w.workers))))
@@ -61,7 +61,7 @@
 			w.scheduleKill(w.schedulers[rng.IntN(len(w.schedulers))], t.At, t.Duration, seed, plan)
 		}
 	}
-	for _, f := range w.spec.Faults {
+	for _, f := range w.spec.SchedulerFaults {
 		if f.Kind == faults.Kill {
 			for _, workerCount := range f.From {
 				w.scheduleKill(w.schedulers[workerCount], f.At, f.Lasts, seed, plan)
@@ -71,7 +71,7 @@
 }
 
 // scheduleKill schedules the kill of a scheduler and its restart without any state after the given duration.
-func (w *World) scheduleKill(s *scheduler, atMillis, duration units.Millis, seed uint64, plan *room.Config) {
+func (w *Simulation) scheduleKill(s *scheduler, atMillis, duration units.Millis, seed uint64, plan *backfill.Config) {
 	w.After(float64(atMillis), func() { w.kill(s) })
 	w.After(float64(atMillis+duration), func() {
 		// The settings were valid at the first start, so they are valid now.
@@ -82,7 +82,7 @@
 }
 
 // kill ends a scheduler process. Its open requests are lost, and come again at another scheduler.
-func (w *World) kill(s *scheduler) {
+func (w *Simulation) kill(s *scheduler) {
 	s.alive = false
 	for _, f := range w.flows {
 		if f.scheduler == s && !f.finished {
--- a/internal/emulator/spec.go
+++ b/internal/emulator/spec.go
@@ -24,7 +24,7 @@
 	BeyondAllowanceValue units.Share     `toml:"beyond_worth"` // fraction of its value that a request keeps beyond its tenant's allowance
 	SiteFaults           []SiteFaultSpec `toml:"trouble"`
 	Level                units.Share     `toml:"level"` // offered load as a share of the workers' capacity
-	Wide                 *units.Share    `toml:"wide"`  // share of the work in jobs of the maximum number of slots; nil: given by the classes
+	WideShare            *units.Share    `toml:"wide"`  // share of the work in jobs of the maximum number of slots; nil: given by the classes
 	Length               units.Millis    `toml:"length"`
 	Warmup               units.Millis    `toml:"warmup"`       // initial period whose requests are not recorded
 	ReportInterval       units.Millis    `toml:"report_every"` // time between two load samples of a worker
@@ -33,7 +33,7 @@
 	NetDelay             units.Millis    `toml:"net_delay"`
 	DatagramDelay        units.Millis    `toml:"datagram_delay"`
 	DatagramLoss         units.Share     `toml:"datagram_loss"`
-	Faults               faults.Script   `toml:"fault"`       // faults of the schedulers and of the links between them
+	SchedulerFaults      faults.Script   `toml:"fault"`       // faults of the schedulers and of the links between them
 	DiscoveryDelay       units.Millis    `toml:"list_delay"`  // from a change at a worker to its announcement by discovery
 	DiscoverySpread      units.Millis    `toml:"list_spread"` // maximum additional delay, drawn for each scheduler
 	DepartureShare       units.Share     `toml:"leave"`       // share of the clients that disconnect early
@@ -174,7 +174,7 @@
 			return fmt.Errorf("no trouble is called %q", t.Kind)
 		}
 	}
-	if err := s.Faults.Check(s.Schedulers); err != nil {
+	if err := s.SchedulerFaults.Check(s.Schedulers); err != nil {
 		return err
 	}
 	if len(s.Tenants) == 0 {
@@ -264,8 +264,8 @@
 	allowances := newAllowanceBuckets(s.Tenants)
 	for now := 0.0; ; {
 		wideShare := wide / (narrow + wide)
-		if s.Wide != nil && widest > 0 {
-			wideShare = float64(*s.Wide)
+		if s.WideShare != nil && widest > 0 {
+			wideShare = float64(*s.WideShare)
 		}
 		for _, t := range s.SiteFaults {
 			if t.Kind == "wide" && now >= float64(t.At) && now < float64(t.At+t.Duration) && int((now-float64(t.At))/float64(max(t.Interval, 1)))%2 == 0 {
--- a/internal/lab/lab.go
+++ b/internal/experiment/experiment.go
@@ -1,4 +1,4 @@
-// Package lab runs experiments that compare variants of scheduler settings on an emulated site.
+// Package experiment runs experiments that compare variants of scheduler settings on an emulated site.
 //
 // Load reads an experiment file. Experiment.Run runs every variant with the same seeds, either with real
 // scheduler processes on loopback sockets or with the decision module in virtual time, and returns a Summary with
@@ -6,7 +6,7 @@
 // charts, and compared with another one. StartReady starts a Testbed alone, an emulated site with scheduler
 // processes, without an experiment. Package lab does not emulate the site itself (see emulator and shopfront) and
 // defines no faults (see faults).
-package lab
+package experiment
 
 import (
 	"fmt"
@@ -16,10 +16,10 @@
 	"strings"
 
 	"cottonwell/balance"
+	"cottonwell/internal/backfill"
 	"cottonwell/internal/config"
 	"cottonwell/internal/emulator"
-	"cottonwell/internal/rig"
-	"cottonwell/internal/room"
+	"cottonwell/internal/logcheck"
 	"cottonwell/internal/tomlfile"
 	"cottonwell/internal/units"
 )
@@ -32,7 +32,7 @@
 	Seeds        int           `toml:"seeds"`
 	QuickSeeds   int           `toml:"quick_seeds"`
 	QuickLength  units.Millis  `toml:"quick_length"` // length of a run in the quick form
-	Shop         emulator.Spec `toml:"shop"`
+	Site         emulator.Spec `toml:"shop"`
 	RandomFaults RandomFaults  `toml:"drawn"`
 	Variants     []Variant     `toml:"variant"`
 	Sweep        Sweep         `toml:"sweep"`
@@ -44,9 +44,9 @@
 
 // Variant is one configuration of the schedulers.
 type Variant struct {
-	Name  string        `toml:"name"`
-	Room  *config.Room  `toml:"room"`
-	Fleet *config.Fleet `toml:"fleet"`
+	Name  string               `toml:"name"`
+	Room  *config.Reservations `toml:"room"`
+	Fleet *config.Fleet        `toml:"fleet"`
 	// Tags are build tags for a scheduler program that is faulty on purpose. Violations in its runs count only in
 	// checks that name the variant. The experiment must run in the project's folder, where the program is built.
 	Tags string `toml:"tags"`
@@ -83,17 +83,17 @@
 
 // Run is the result of one run of one variant with one seed.
 type Run struct {
-	Variant     string      `json:"variant"`
-	Cell        Cell        `json:"cell"`
-	Seed        uint64      `json:"seed"`
-	FaultyBuild bool        `json:"wrong,omitempty"` // the scheduler program is faulty on purpose
-	Fleet       *rig.Result `json:"fleet,omitempty"` // nil without a fleet and without faults
+	Variant     string           `json:"variant"`
+	Cell        Cell             `json:"cell"`
+	Seed        uint64           `json:"seed"`
+	FaultyBuild bool             `json:"wrong,omitempty"` // the scheduler program is faulty on purpose
+	Fleet       *logcheck.Result `json:"fleet,omitempty"` // nil without a fleet and without faults
 	emulator.Result
 }
 
 // Violations returns how often a rule of the protocol or a guarantee of the fleet was violated.
 func (r *Run) Violations() int {
-	n := r.Result.Rules()
+	n := r.Result.ViolationCount()
 	if r.Fleet != nil {
 		n += r.Fleet.Violations()
 	}
@@ -133,7 +133,7 @@
 }
 
 func (e *Experiment) validate() error {
-	if err := e.Shop.Check(); err != nil {
+	if err := e.Site.Check(); err != nil {
 		return fmt.Errorf("shop: %w", err)
 	}
 	switch {
@@ -141,7 +141,7 @@
 		return fmt.Errorf("engine %q: want sockets or model", e.Engine)
 	case e.Engine == "model" && (e.RandomFaults.Faults+e.RandomFaults.ConnectionFaults+e.RandomFaults.Documents > 0 || slices.ContainsFunc(e.Variants, func(v Variant) bool { return v.Fleet != nil })):
 		return fmt.Errorf("drawn faults and variants with a fleet need real processes: engine sockets")
-	case min(e.RandomFaults.Faults, e.RandomFaults.ConnectionFaults) < 0 || e.RandomFaults.Faults+e.RandomFaults.ConnectionFaults > 1000 || e.RandomFaults.Faults+e.RandomFaults.ConnectionFaults > 0 && 3*e.RandomFaults.Quiet >= min(e.Shop.Length, max(e.QuickLength, 3*e.RandomFaults.Quiet+1)):
+	case min(e.RandomFaults.Faults, e.RandomFaults.ConnectionFaults) < 0 || e.RandomFaults.Faults+e.RandomFaults.ConnectionFaults > 1000 || e.RandomFaults.Faults+e.RandomFaults.ConnectionFaults > 0 && 3*e.RandomFaults.Quiet >= min(e.Site.Length, max(e.QuickLength, 3*e.RandomFaults.Quiet+1)):
 		return fmt.Errorf("drawn: %d faults with quiet %gms: want at most 1000 faults and quiet below a third of the run", e.RandomFaults.Faults, float64(e.RandomFaults.Quiet))
 	case e.Seeds < 1 || e.QuickSeeds < 1 || e.Seeds > 1000:
 		return fmt.Errorf("seeds and quick_seeds must be 1 to 1000")
@@ -150,7 +150,7 @@
 	case len(e.Variants) == 0:
 		return fmt.Errorf("no variants")
 	}
-	settings := e.Shop.Settings(0)
+	settings := e.Site.Settings(0)
 	for i, v := range e.Variants {
 		if v.Name == "" || slices.ContainsFunc(e.Variants[:i], func(x Variant) bool { return x.Name == v.Name }) {
 			return fmt.Errorf("variant %q: name is empty or used twice", v.Name)
@@ -197,11 +197,11 @@
 }
 
 // roomConfig returns the reservation settings of the variant, or nil if reservations are disabled.
-func (v *Variant) roomConfig() *room.Config {
+func (v *Variant) roomConfig() *backfill.Config {
 	if v.Room == nil {
 		return nil
 	}
-	return v.Room.Plan()
+	return v.Room.PlannerConfig()
 }
 
 // cells returns the combinations of the sweep's values. An empty sweep yields one cell, the site as configured.
@@ -210,9 +210,9 @@
 	if q := e.QuickSweep; quick && len(q.Level)+len(q.Wide)+len(q.Schedulers)+len(q.Loss) > 0 {
 		sweep = q
 	}
-	base := Cell{Level: float64(e.Shop.Level), Wide: -1, Schedulers: e.Shop.Schedulers, Loss: float64(e.Shop.DatagramLoss)}
-	if e.Shop.Wide != nil {
-		base.Wide = float64(*e.Shop.Wide)
+	base := Cell{Level: float64(e.Site.Level), Wide: -1, Schedulers: e.Site.Schedulers, Loss: float64(e.Site.DatagramLoss)}
+	if e.Site.WideShare != nil {
+		base.Wide = float64(*e.Site.WideShare)
 	}
 	out = []Cell{base}
 	expand := func(n int, set func(c *Cell, i int)) {
@@ -238,11 +238,11 @@
 
 // spec returns the configuration of the site for a cell.
 func (e *Experiment) spec(c Cell, quick bool) *emulator.Spec {
-	spec := e.Shop
+	spec := e.Site
 	spec.Level, spec.Schedulers, spec.DatagramLoss = units.Share(c.Level), c.Schedulers, units.Share(c.Loss)
 	if c.Wide >= 0 {
 		w := units.Share(c.Wide)
-		spec.Wide = &w
+		spec.WideShare = &w
 	}
 	if quick && e.QuickLength > 0 {
 		spec.Length = e.QuickLength
@@ -254,7 +254,7 @@
 var figures = map[string]func(r *Run) float64{
 	"large_in_time": func(r *Run) float64 { return r.Large.Share() },
 	"small_in_time": func(r *Run) float64 { return r.Small.Share() },
-	"worth":         func(r *Run) float64 { return r.Worth },
+	"worth":         func(r *Run) float64 { return r.Value },
 	"broken":        func(r *Run) float64 { return float64(r.Violations()) },
 	"contradictions": func(r *Run) float64 {
 		if r.Fleet == nil {
--- a/internal/lab/lab_test.go
+++ b/internal/experiment/experiment_test.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"context"
@@ -110,7 +110,7 @@
 	again, err := e.Run(context.Background(), Options{Seed: 4})
 	require.NoError(t, err)
 	for i := range s.Runs {
-		require.Equal(t, s.Runs[i].Large.InTime, again.Runs[i].Large.InTime)
+		require.Equal(t, s.Runs[i].Large.WithinTarget, again.Runs[i].Large.WithinTarget)
 	}
 	other, err := e.Run(context.Background(), Options{Seed: 40})
 	require.NoError(t, err)
@@ -124,7 +124,7 @@
 	quick := e.cells(true)
 	require.Len(t, quick, 1)
 	require.Equal(t, units.Share(0.7), e.spec(quick[0], true).Level)
-	require.Equal(t, units.Share(0.8), e.Shop.Level, "spec does not change the experiment")
+	require.Equal(t, units.Share(0.8), e.Site.Level, "spec does not change the experiment")
 }
 
 func TestConfidenceInterval(t *testing.T) {
--- a/internal/lab/fleet.go
+++ b/internal/experiment/faultrun.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"context"
@@ -20,7 +20,7 @@
 
 	"cottonwell/internal/emulator"
 	"cottonwell/internal/faults"
-	"cottonwell/internal/rig"
+	"cottonwell/internal/logcheck"
 	"cottonwell/internal/units"
 )
 
@@ -39,7 +39,7 @@
 // script returns the faults of one run. It leaves out clock steps, because the clocks of real processes are not
 // changed.
 func (e *Experiment) script(spec *emulator.Spec, seed uint64) faults.Script {
-	s := slices.Clone(spec.Faults)
+	s := slices.Clone(spec.SchedulerFaults)
 	if e.RandomFaults.Faults > 0 {
 		s = append(s, faults.Draw(seed, spec.Schedulers, e.RandomFaults.Faults, float64(spec.Length), float64(e.RandomFaults.Quiet))...)
 	}
@@ -65,7 +65,7 @@
 	}
 	begin := time.Now()
 	for _, fault := range script {
-		if fault.Kind.OfWay() {
+		if fault.Kind.IsLinkFault() {
 			continue
 		}
 		for _, i := range fault.From {
@@ -83,7 +83,7 @@
 					// UnexpectedExit reports a process that exited by itself.
 					_ = proc.cmd.Process.Signal(syscall.SIGSTOP)
 					sleep(ctx, lasts)
-					t.Shop.Woke(i)
+					t.Site.Resumed(i)
 					_ = proc.cmd.Process.Signal(syscall.SIGCONT)
 				case faults.Kill, faults.Term:
 					proc.stopped.Store(true)
@@ -96,11 +96,11 @@
 					}
 					_ = proc.cmd.Process.Kill()
 					<-proc.done
-					t.recordEvent(rig.Event{At: nowMS(), Scheduler: i, Kind: rig.ProcessEnded})
+					t.recordEvent(logcheck.Event{At: nowMS(), Scheduler: i, Kind: logcheck.ProcessEnded})
 					if !sleep(ctx, lasts) {
 						return
 					}
-					if err := t.restart(i, fault.Old); err != nil {
+					if err := t.restart(i, fault.OldList); err != nil {
 						fail(err)
 					}
 				}
@@ -126,7 +126,7 @@
 	}
 }
 
-func (t *Testbed) recordEvent(e rig.Event) {
+func (t *Testbed) recordEvent(e logcheck.Event) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.events = append(t.events, e)
@@ -134,7 +134,7 @@
 
 // runUnderFaults plays the load of one run under faults. It then reads the logs of the schedulers and checks
 // which duties each believed that it held.
-func (t *Testbed) runUnderFaults(ctx context.Context, script faults.Script, seed uint64, duties []string, e *Experiment, v *Variant) (*emulator.Result, *rig.Result, error) {
+func (t *Testbed) runUnderFaults(ctx context.Context, script faults.Script, seed uint64, duties []string, e *Experiment, v *Variant) (*emulator.Result, *logcheck.Result, error) {
 	begin := nowMS()
 	injected := make(chan error, 1)
 	go func() {
@@ -145,7 +145,7 @@
 		}
 		injected <- errors.Join(t.injectProcessFaults(ctx, script), func() error { publishing.Wait(); return err }())
 	}()
-	res := t.Shop.Play(ctx, seed, nil)
+	res := t.Site.RunLoad(ctx, seed, nil)
 	if err := <-injected; err != nil {
 		return nil, nil, err
 	}
@@ -162,15 +162,15 @@
 		if err != nil {
 			return nil, nil, err
 		}
-		read, err := rig.Read(i, f)
+		read, err := logcheck.Read(i, f)
 		f.Close()
 		if err != nil {
 			return nil, nil, err
 		}
 		events = append(events, read...)
 	}
-	events = slices.DeleteFunc(events, func(e rig.Event) bool { return e.At > end })
-	r := rig.Check(events, duties, begin, end)
+	events = slices.DeleteFunc(events, func(e logcheck.Event) bool { return e.At > end })
+	r := logcheck.Check(events, duties, begin, end)
 	r.Script = script
 	return res, r, nil
 }
@@ -181,13 +181,13 @@
 func (t *Testbed) publishRules(ctx context.Context, e *Experiment, v *Variant, seed uint64) error {
 	rng := rand.New(rand.NewPCG(seed, 0xd0c))
 	begin, quiet := time.Now(), float64(e.RandomFaults.Quiet)
-	length := float64(t.Shop.Length())
+	length := float64(t.Site.Length())
 	for i := range e.RandomFaults.Documents {
 		at := quiet + (length-2*quiet)*float64(i)/float64(e.RandomFaults.Documents)
 		if !sleep(ctx, time.Until(begin.Add(time.Duration(at*1e6)))) {
 			return nil
 		}
-		if err := writeRules(filepath.Join(t.tempDir, v.Fleet.Rules.File), e.Shop.Classes[0].Name, 1+i%3, i); err != nil {
+		if err := writeRules(filepath.Join(t.tempDir, v.Fleet.Rules.File), e.Site.Classes[0].Name, 1+i%3, i); err != nil {
 			return err
 		}
 		order := rng.Perm(len(t.processes))
@@ -233,7 +233,7 @@
 		}
 		f := &r.Fleet.Rules
 		fmt.Fprintf(b, "| %s | %d | %d | %d | %d | %d, %.0f, %.0f | %d | %d | %.1f | %d |\n", r.Variant, r.Cell.Schedulers, r.Seed, f.Documents, f.Changes,
-			len(f.Contradictions), rig.Quantile(f.Contradictions, 0.5), rig.Quantile(f.Contradictions, 1), f.Regressions, f.NumberConflicts, f.StrictTime/1000, f.FinalVersions)
+			len(f.Contradictions), logcheck.Quantile(f.Contradictions, 0.5), logcheck.Quantile(f.Contradictions, 1), f.Regressions, f.NumberConflicts, f.StrictTime/1000, f.FinalVersions)
 		variant := slices.Index(variants, r.Variant)
 		if variant < 0 {
 			variant = len(variants)
@@ -283,7 +283,7 @@
 		}
 		f := r.Fleet
 		fmt.Fprintf(b, "| %s | %d | %d | %d | %d | %d | %d, %d, %d | %d | %d | %d, %.0f, %.0f | %d, %.0f, %.0f |\n", r.Variant, r.Cell.Schedulers, r.Seed, len(f.Holdings), f.DoubleHolders, f.NonIncreasing, f.ActsTaken, f.ActsRefused, f.StaleActs, f.Verdicts, f.Unheld,
-			len(f.Gaps), rig.Quantile(f.Gaps, 0.5), rig.Quantile(f.Gaps, 0.99), len(f.HandoverGaps), rig.Quantile(f.HandoverGaps, 0.5), rig.Quantile(f.HandoverGaps, 0.99))
+			len(f.Gaps), logcheck.Quantile(f.Gaps, 0.5), logcheck.Quantile(f.Gaps, 0.99), len(f.HandoverGaps), logcheck.Quantile(f.HandoverGaps, 0.5), logcheck.Quantile(f.HandoverGaps, 0.99))
 	}
 	for i := range s.Runs {
 		r := &s.Runs[i]
@@ -318,11 +318,11 @@
 	}
 	for _, f := range r.Fleet.Script {
 		shade := color.Gray{Y: 200}
-		if f.Kind.OfWay() {
+		if f.Kind.IsLinkFault() {
 			shade = color.Gray{Y: 235}
 		}
 		affected := slices.Concat(f.From, f.To)
-		if f.Ways != "" { // To may contain targets
+		if f.Links != "" { // To may contain targets
 			affected = f.From
 		}
 		for _, scheduler := range affected {
--- a/internal/lab/fleet_test.go
+++ b/internal/experiment/faultrun_test.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"context"
@@ -162,6 +162,6 @@
 	require.NoError(t, one.Check(9))
 	_, err = Load(writeExperiment(t, smallExperiment+"[drawn]\nfaults = 3\nquiet = '100ms'\n"))
 	require.ErrorContains(t, err, "need real processes")
-	_, err = emulator.NewWorld(&emulator.Spec{}, 1, nil)
+	_, err = emulator.NewSimulation(&emulator.Spec{}, 1, nil)
 	require.Error(t, err)
 }
--- a/internal/lab/report.go
+++ b/internal/experiment/report.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"fmt"
@@ -44,14 +44,14 @@
 		for _, v := range s.Variants {
 			r := s.aggregate(v, c)
 			lost := 0
-			for why, n := range r.Room.LetGo {
+			for why, n := range r.Reservations.Released {
 				if why != "placed" && why != "unheard" {
 					lost += n
 				}
 			}
 			fmt.Fprintf(&b, "| %v | %s | %.1f%% | %.1f%% | %.0f, %.0f | %.0f, %.0f | %d | %d (%d) | %d |\n", c, v,
 				100*s.mean(v, c, "large_in_time"), 100*s.mean(v, c, "small_in_time"), r.Large.P50, r.Large.P99, r.Small.P50, r.Small.P99,
-				r.Room.Held, r.Room.Gaps, r.Room.Wrong, lost)
+				r.Reservations.Reserved, r.Reservations.Backfilled, r.Reservations.BackfilledLate, lost)
 		}
 	}
 	if err := s.fleetTable(dir, &b); err != nil {
@@ -73,7 +73,7 @@
 
 // aggregate adds up the counts of a variant's runs in a cell and averages the latency quantiles.
 func (s *Summary) aggregate(variant string, c Cell) (out Run) {
-	out.Room.LetGo = map[string]int{}
+	out.Reservations.Released = map[string]int{}
 	n := 0.0
 	for i := range s.Runs {
 		r := &s.Runs[i]
@@ -83,9 +83,9 @@
 		n++
 		out.Large.P50, out.Large.P99 = out.Large.P50+r.Large.P50, out.Large.P99+r.Large.P99
 		out.Small.P50, out.Small.P99 = out.Small.P50+r.Small.P50, out.Small.P99+r.Small.P99
-		out.Room.Held, out.Room.Gaps, out.Room.Wrong = out.Room.Held+r.Room.Held, out.Room.Gaps+r.Room.Gaps, out.Room.Wrong+r.Room.Wrong
-		for why, k := range r.Room.LetGo {
-			out.Room.LetGo[why] += k
+		out.Reservations.Reserved, out.Reservations.Backfilled, out.Reservations.BackfilledLate = out.Reservations.Reserved+r.Reservations.Reserved, out.Reservations.Backfilled+r.Reservations.Backfilled, out.Reservations.BackfilledLate+r.Reservations.BackfilledLate
+		for why, k := range r.Reservations.Released {
+			out.Reservations.Released[why] += k
 		}
 	}
 	for _, x := range []*float64{&out.Large.P50, &out.Large.P99, &out.Small.P50, &out.Small.P99} {
--- a/internal/lab/run.go
+++ b/internal/experiment/testbed.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"context"
@@ -18,10 +18,10 @@
 
 	"github.com/BurntSushi/toml"
 
+	"cottonwell/internal/emulatedsite"
 	"cottonwell/internal/emulator"
+	"cottonwell/internal/logcheck"
 	"cottonwell/internal/net/httpio"
-	"cottonwell/internal/rig"
-	"cottonwell/internal/shopfront"
 )
 
 // Options configure a run of an experiment or a testbed.
@@ -149,30 +149,30 @@
 func (e *Experiment) runOne(ctx context.Context, options Options, r *Run) (*emulator.Result, error) {
 	v, spec := e.variant(r.Variant), e.spec(r.Cell, options.Quick)
 	if e.Engine == "model" {
-		w, err := emulator.NewWorld(spec, r.Seed, v.roomConfig())
+		w, err := emulator.NewSimulation(spec, r.Seed, v.roomConfig())
 		if err != nil {
 			return nil, err
 		}
 		return w.Run(), nil
 	}
-	spec.Faults = e.script(spec, r.Seed)
+	spec.SchedulerFaults = e.script(spec, r.Seed)
 	testbed, err := StartReady(ctx, spec, r.Seed, v, options)
 	if err != nil {
 		return nil, err
 	}
 	defer testbed.Kill()
-	if v.Fleet != nil || len(spec.Faults) > 0 {
+	if v.Fleet != nil || len(spec.SchedulerFaults) > 0 {
 		var duties []string
 		if v.Fleet != nil {
 			for _, d := range v.Fleet.Duties {
 				duties = append(duties, d.Name)
 			}
 		}
-		result, fleet, err := testbed.runUnderFaults(ctx, spec.Faults, r.Seed, duties, e, v)
+		result, fleet, err := testbed.runUnderFaults(ctx, spec.SchedulerFaults, r.Seed, duties, e, v)
 		r.Fleet = fleet
 		return result, err
 	}
-	result := testbed.Shop.Play(ctx, r.Seed, nil)
+	result := testbed.Site.RunLoad(ctx, r.Seed, nil)
 	if ctx.Err() != nil {
 		return nil, context.Cause(ctx)
 	}
@@ -184,7 +184,7 @@
 
 // Testbed is an emulated site with real scheduler processes in front of it.
 type Testbed struct {
-	Shop      *shopfront.Shop
+	Site      *emulatedsite.Site
 	options   Options
 	seed      uint64
 	args      []string
@@ -193,7 +193,7 @@
 	processes []*process
 
 	mu     sync.Mutex
-	events []rig.Event // restarts and ends of processes that faults caused
+	events []logcheck.Event // restarts and ends of processes that faults caused
 }
 
 // process is a scheduler process and its restarts.
@@ -238,10 +238,10 @@
 	if t.tempDir, err = os.MkdirTemp("", "cottonlab-"); err != nil {
 		return nil, err
 	}
-	if t.Shop, err = shopfront.Open(spec, seed, options.Log); err != nil {
+	if t.Site, err = emulatedsite.Open(spec, seed, options.Log); err != nil {
 		return nil, err
 	}
-	t.Shop.Run()
+	t.Site.Run()
 	t.args = []string{"serve", "--log", "warn"}
 	if v != nil && v.Fleet != nil { // rig reads the debug log
 		t.args, t.logDir = []string{"serve", "--log", "debug"}, t.tempDir
@@ -273,8 +273,8 @@
 		}
 		t.args = append(t.args, "--operator", path)
 	}
-	for i := range t.Shop.Nodes() {
-		t.processes = append(t.processes, &process{name: t.Shop.Nodes()[i].Name})
+	for i := range t.Site.Nodes() {
+		t.processes = append(t.processes, &process{name: t.Site.Nodes()[i].Name})
 		if err := t.startProcess(i, false); err != nil {
 			t.processes = t.processes[:i]
 			return nil, err
@@ -294,7 +294,7 @@
 		return err
 	}
 	proc.stopped.Store(false)
-	t.recordEvent(rig.Event{At: nowMS(), Scheduler: i, Kind: rig.ProcessStarted})
+	t.recordEvent(logcheck.Event{At: nowMS(), Scheduler: i, Kind: logcheck.ProcessStarted})
 	return nil
 }
 
@@ -302,7 +302,7 @@
 // list, or with that of its first start if old is set.
 func (t *Testbed) startProcess(i int, old bool) error {
 	proc := t.processes[i]
-	data, err := t.Shop.Config(i, t.seed+1000*uint64(proc.starts), old)
+	data, err := t.Site.Config(i, t.seed+1000*uint64(proc.starts), old)
 	if err != nil {
 		return err
 	}
@@ -336,8 +336,8 @@
 func (t *Testbed) Ready(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, 15*time.Second)
 	defer cancel()
-	for i, n := range t.Shop.Nodes() {
-		for !httpio.Up(n.Listen, time.Second) {
+	for i, n := range t.Site.Nodes() {
+		for !httpio.CheckReady(n.Listen, time.Second) {
 			select {
 			case <-ctx.Done():
 				return fmt.Errorf("scheduler %s is not ready: %w", n.Name, ctx.Err())
@@ -389,8 +389,8 @@
 			n.log.Close()
 		}
 	}
-	if t.Shop != nil {
-		t.Shop.Close()
+	if t.Site != nil {
+		t.Site.Close()
 	}
 	if t.tempDir != "" {
 		os.RemoveAll(t.tempDir)
--- a/internal/faults/faults.go
+++ b/internal/faults/faults.go
@@ -39,8 +39,8 @@
 	Step  Kind = "step"  // sets the wall clock of the process forward by Size, or backward if Back is set
 )
 
-// OfWay reports whether k is a link fault; otherwise k is a process fault.
-func (k Kind) OfWay() bool {
+// IsLinkFault reports whether k is a link fault; otherwise k is a process fault.
+func (k Kind) IsLinkFault() bool {
 	return slices.Contains([]Kind{Loss, Runs, Delay, Jitter, Duplicate, Corrupt, Cut, Split, Break}, k)
 }
 
@@ -53,17 +53,17 @@
 
 // Fault is one scheduled fault.
 type Fault struct {
-	Kind  Kind         `toml:"kind" json:"kind"`
-	At    units.Millis `toml:"at" json:"at_ms"`
-	Lasts units.Millis `toml:"lasts" json:"lasts_ms"`
-	From  []int        `toml:"from" json:"from,omitempty"` // link faults: senders, all if empty; process faults: the affected schedulers
-	To    []int        `toml:"to" json:"to,omitempty"`     // receivers, all if empty; targets if Ways is Targets
-	Parts [][]int      `toml:"parts" json:"parts,omitempty"`
-	Share units.Share  `toml:"share" json:"share,omitempty"`
-	Back  bool         `toml:"back" json:"back,omitempty"` // step: set the clock backward
-	Size  units.Millis `toml:"size" json:"size_ms,omitempty"`
-	Ways  string       `toml:"ways" json:"ways,omitempty"` // the affected links: Discovery, Targets, or empty for those between schedulers
-	Old   bool         `toml:"old" json:"old,omitempty"`   // kill, term: restart with the target list of the first start
+	Kind     Kind         `toml:"kind" json:"kind"`
+	At       units.Millis `toml:"at" json:"at_ms"`
+	Lasts    units.Millis `toml:"lasts" json:"lasts_ms"`
+	From     []int        `toml:"from" json:"from,omitempty"` // link faults: senders, all if empty; process faults: the affected schedulers
+	To       []int        `toml:"to" json:"to,omitempty"`     // receivers, all if empty; targets if Ways is Targets
+	Parts    [][]int      `toml:"parts" json:"parts,omitempty"`
+	Share    units.Share  `toml:"share" json:"share,omitempty"`
+	Backward bool         `toml:"back" json:"back,omitempty"` // step: set the clock backward
+	Size     units.Millis `toml:"size" json:"size_ms,omitempty"`
+	Links    string       `toml:"ways" json:"ways,omitempty"` // the affected links: Discovery, Targets, or empty for those between schedulers
+	OldList  bool         `toml:"old" json:"old,omitempty"`   // kill, term: restart with the target list of the first start
 }
 
 // Script is the schedule of faults of one run.
@@ -73,18 +73,18 @@
 func (s Script) Check(schedulers int) error {
 	for i, f := range s {
 		named := slices.Concat(f.From, f.To, slices.Concat(f.Parts...))
-		if f.Ways == Targets {
+		if f.Links == Targets {
 			named = f.From
 		}
 		outOfRange := slices.ContainsFunc(named, func(x int) bool { return x < 0 || x >= schedulers })
 		switch {
-		case !f.Kind.OfWay() && !slices.Contains([]Kind{Kill, Stall, Term, Step}, f.Kind):
+		case !f.Kind.IsLinkFault() && !slices.Contains([]Kind{Kill, Stall, Term, Step}, f.Kind):
 			return fmt.Errorf("fault %d: unknown kind %q", i+1, f.Kind)
-		case f.Ways != "" && f.Ways != Discovery && f.Ways != Targets:
-			return fmt.Errorf("fault %d (%s): unknown ways %q: want discovery or targets", i+1, f.Kind, f.Ways)
-		case f.Ways == "" && f.Kind == Break || f.Ways != "" && !slices.Contains([]Kind{Break, Cut, Delay}, f.Kind):
+		case f.Links != "" && f.Links != Discovery && f.Links != Targets:
+			return fmt.Errorf("fault %d (%s): unknown ways %q: want discovery or targets", i+1, f.Kind, f.Links)
+		case f.Links == "" && f.Kind == Break || f.Links != "" && !slices.Contains([]Kind{Break, Cut, Delay}, f.Kind):
 			return fmt.Errorf("fault %d (%s): links to discovery and targets allow only cut, delay and break; break is allowed only there", i+1, f.Kind)
-		case f.Old && f.Kind != Kill && f.Kind != Term:
+		case f.OldList && f.Kind != Kill && f.Kind != Term:
 			return fmt.Errorf("fault %d (%s): old applies only to kill and term", i+1, f.Kind)
 		case outOfRange:
 			return fmt.Errorf("fault %d (%s): unknown scheduler: indices are 0 to %d", i+1, f.Kind, schedulers-1)
@@ -92,7 +92,7 @@
 			return fmt.Errorf("fault %d (%s): at or lasts is negative", i+1, f.Kind)
 		case f.Share < 0 || f.Share > 1:
 			return fmt.Errorf("fault %d (%s): share %g%% is not between 0%% and 100%%", i+1, f.Kind, 100*float64(f.Share))
-		case !f.Kind.OfWay() && len(f.From) == 0:
+		case !f.Kind.IsLinkFault() && len(f.From) == 0:
 			return fmt.Errorf("fault %d (%s): from names no scheduler", i+1, f.Kind)
 		case f.Kind == Split && len(f.Parts) < 2:
 			return fmt.Errorf("fault %d (split): fewer than two parts", i+1)
@@ -104,7 +104,7 @@
 // affectsDatagram reports whether f is a fault of links between schedulers that is active at now, in ms,
 // on the link from one scheduler to another.
 func (f *Fault) affectsDatagram(now float64, from, to int) bool {
-	return f.Kind.OfWay() && f.Ways == "" && now >= float64(f.At) && now < float64(f.At+f.Lasts) &&
+	return f.Kind.IsLinkFault() && f.Links == "" && now >= float64(f.At) && now < float64(f.At+f.Lasts) &&
 		(len(f.From) == 0 || slices.Contains(f.From, from)) && (len(f.To) == 0 || slices.Contains(f.To, to))
 }
 
@@ -147,7 +147,7 @@
 		case 13:
 			f.Kind, f.From = Term, subset(1)
 		case 14:
-			f.Kind, f.From, f.Size, f.Back = Step, subset(2), units.Millis(2000*rng.Float64()), rng.IntN(2) == 0
+			f.Kind, f.From, f.Size, f.Backward = Step, subset(2), units.Millis(2000*rng.Float64()), rng.IntN(2) == 0
 		}
 		s = append(s, f)
 	}
@@ -162,15 +162,15 @@
 	for range faults {
 		f := Fault{At: units.Millis(quiet + rng.Float64()*(length-3*quiet)), Lasts: units.Millis((0.05 + 0.95*rng.Float64()) * quiet)}
 		f.From = rng.Perm(schedulers)[:1+rng.IntN(schedulers)]
-		f.Kind, f.Ways = []Kind{Cut, Delay, Break}[rng.IntN(3)], Discovery
+		f.Kind, f.Links = []Kind{Cut, Delay, Break}[rng.IntN(3)], Discovery
 		if f.Kind == Delay {
 			f.Size = units.Millis(200 * rng.Float64())
 		}
 		switch rng.IntN(4) {
 		case 0, 1:
-			f.Ways, f.To = Targets, rng.Perm(targets)[:1+rng.IntN(max(1, targets/3))]
+			f.Links, f.To = Targets, rng.Perm(targets)[:1+rng.IntN(max(1, targets/3))]
 		case 2:
-			f = Fault{Kind: Kill, At: f.At, Lasts: f.Lasts, From: f.From[:1], Old: true}
+			f = Fault{Kind: Kill, At: f.At, Lasts: f.Lasts, From: f.From[:1], OldList: true}
 		}
 		s = append(s, f)
 	}
@@ -178,18 +178,18 @@
 	return s
 }
 
-// Way is the fault state of a link that carries connections.
-type Way struct {
+// LinkState is the fault state of a link that carries connections.
+type LinkState struct {
 	Cut, Broken bool
 	Delay       float64 // ms
 }
 
-// Way returns the fault state at now, in ms, of the link from scheduler from to a service, Discovery or
+// ConnectionState returns the fault state at now, in ms, of the link from scheduler from to a service, Discovery or
 // Targets. For Targets, to is the index of the target.
-func (s Script) Way(now float64, service string, from, to int) (state Way) {
+func (s Script) ConnectionState(now float64, service string, from, to int) (state LinkState) {
 	for i := range s {
 		f := &s[i]
-		if f.Ways != service || !f.Kind.OfWay() || now < float64(f.At) || now >= float64(f.At+f.Lasts) ||
+		if f.Links != service || !f.Kind.IsLinkFault() || now < float64(f.At) || now >= float64(f.At+f.Lasts) ||
 			len(f.From) > 0 && !slices.Contains(f.From, from) || service == Targets && len(f.To) > 0 && !slices.Contains(f.To, to) {
 			continue
 		}
@@ -211,20 +211,20 @@
 	Raw   string
 }
 
-// Net applies the faults of links between schedulers to datagrams.
-type Net struct {
-	Script Script
-	Base   float64 // mean network delay without faults, in ms
-	Rng    *rand.Rand
+// DatagramFaults applies the faults of links between schedulers to datagrams.
+type DatagramFaults struct {
+	Script    Script
+	MeanDelay float64 // mean network delay without faults, in ms
+	Rng       *rand.Rand
 
 	phaseEnds map[[3]int]float64 // by fault, sender and receiver: end of the current phase of loss or of no loss, in ms
 	losing    map[[3]int]bool    // by the same key: whether the current phase loses datagrams
 }
 
-// Pass returns the deliveries of a datagram that is sent at now, in ms since the beginning of the script.
+// Deliver returns the deliveries of a datagram that is sent at now, in ms since the beginning of the script.
 // The datagram arrives not at all, once or twice.
-func (n *Net) Pass(now float64, from, to int, raw string) (deliveries []Delivery) {
-	delay, duplicateDelay := n.Base*(0.5+n.Rng.Float64()), -1.0
+func (n *DatagramFaults) Deliver(now float64, from, to int, raw string) (deliveries []Delivery) {
+	delay, duplicateDelay := n.MeanDelay*(0.5+n.Rng.Float64()), -1.0
 	for i := range n.Script {
 		f := &n.Script[i]
 		if !f.affectsDatagram(now, from, to) {
@@ -274,7 +274,7 @@
 
 // inLossRun reports whether a Runs fault drops the datagrams of a link at now. Runs of loss last Size on
 // average and cover Share of the time.
-func (n *Net) inLossRun(fault int, f *Fault, now float64, from, to int) bool {
+func (n *DatagramFaults) inLossRun(fault int, f *Fault, now float64, from, to int) bool {
 	if n.phaseEnds == nil {
 		n.phaseEnds, n.losing = map[[3]int]float64{}, map[[3]int]bool{}
 	}
--- a/internal/faults/faults_test.go
+++ b/internal/faults/faults_test.go
@@ -9,9 +9,9 @@
 
 func TestPassAppliesEachFault(t *testing.T) {
 	pass := func(f Fault, now float64, from, to int) (arrived int, maxDelay float64, changed int) {
-		n := &Net{Script: Script{f}, Base: 2, Rng: rand.New(rand.NewPCG(1, 2))}
+		n := &DatagramFaults{Script: Script{f}, MeanDelay: 2, Rng: rand.New(rand.NewPCG(1, 2))}
 		for i := range 2000 {
-			for _, d := range n.Pass(now+float64(i)/100, from, to, "packet") {
+			for _, d := range n.Deliver(now+float64(i)/100, from, to, "packet") {
 				arrived++
 				maxDelay = max(maxDelay, d.After)
 				if d.Raw != "packet" {
@@ -68,10 +68,10 @@
 		require.Equal(t, s, DrawConnectionFaults(seed, 5, 12, 8, 24_000, 5000))
 	}
 	for want, f := range map[string]Fault{
-		"unknown ways \"moon\"":       {Kind: Cut, Ways: "moon"},
+		"unknown ways \"moon\"":       {Kind: Cut, Links: "moon"},
 		"break is allowed only there": {Kind: Break},
-		"allow only cut, delay":       {Kind: Loss, Ways: Discovery},
-		"old applies only to kill":    {Kind: Stall, From: []int{1}, Old: true},
+		"allow only cut, delay":       {Kind: Loss, Links: Discovery},
+		"old applies only to kill":    {Kind: Stall, From: []int{1}, OldList: true},
 		"unknown kind \"flood\"":      {Kind: "flood"},
 		"unknown scheduler":           {Kind: Cut, From: []int{9}},
 		"negative":                    {Kind: Cut, At: -1},
@@ -84,15 +84,15 @@
 }
 
 func TestConnectionFaults(t *testing.T) {
-	s := Script{{Kind: Cut, At: 100, Lasts: 100, From: []int{1}, Ways: Discovery}, {Kind: Delay, At: 100, Lasts: 50, Size: 30, Ways: Targets, To: []int{7}},
-		{Kind: Break, At: 120, Lasts: 50, Ways: Targets, From: []int{2}}, {Kind: Cut, At: 0, Lasts: 1000}}
+	s := Script{{Kind: Cut, At: 100, Lasts: 100, From: []int{1}, Links: Discovery}, {Kind: Delay, At: 100, Lasts: 50, Size: 30, Links: Targets, To: []int{7}},
+		{Kind: Break, At: 120, Lasts: 50, Links: Targets, From: []int{2}}, {Kind: Cut, At: 0, Lasts: 1000}}
 	require.NoError(t, s.Check(3))
-	require.Equal(t, Way{Cut: true}, s.Way(150, Discovery, 1, 0))
-	require.Zero(t, s.Way(150, Discovery, 0, 0), "another scheduler")
-	require.Zero(t, s.Way(200, Discovery, 1, 0), "after the end of the fault")
-	require.Equal(t, Way{Delay: 30}, s.Way(110, Targets, 0, 7))
-	require.Zero(t, s.Way(110, Targets, 0, 6))
-	require.Equal(t, Way{Broken: true, Delay: 30}, s.Way(130, Targets, 2, 7))
-	n := &Net{Script: s[:3], Base: 2, Rng: rand.New(rand.NewPCG(1, 2))}
-	require.Len(t, n.Pass(150, 1, 0, "packet"), 1, "faults of connections do not affect datagrams between schedulers")
+	require.Equal(t, LinkState{Cut: true}, s.ConnectionState(150, Discovery, 1, 0))
+	require.Zero(t, s.ConnectionState(150, Discovery, 0, 0), "another scheduler")
+	require.Zero(t, s.ConnectionState(200, Discovery, 1, 0), "after the end of the fault")
+	require.Equal(t, LinkState{Delay: 30}, s.ConnectionState(110, Targets, 0, 7))
+	require.Zero(t, s.ConnectionState(110, Targets, 0, 6))
+	require.Equal(t, LinkState{Broken: true, Delay: 30}, s.ConnectionState(130, Targets, 2, 7))
+	n := &DatagramFaults{Script: s[:3], MeanDelay: 2, Rng: rand.New(rand.NewPCG(1, 2))}
+	require.Len(t, n.Deliver(150, 1, 0, "packet"), 1, "faults of connections do not affect datagrams between schedulers")
 }
--- a/internal/fleet/frame/frame.go
+++ b/internal/fleet/datagram/datagram.go
@@ -1,8 +1,8 @@
-// Package frame encodes the common header of all fleet datagrams: a version byte, a checksum, and a
+// Package datagram encodes the common header of all fleet datagrams: a version byte, a checksum, and a
 // digest of the configuration that must be equal on both ends. Open rejects datagrams that are
 // truncated, corrupted, of another version, or from a scheduler with another configuration. The
 // package does not interpret the body.
-package frame
+package datagram
 
 import (
 	"encoding/binary"
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -18,7 +18,7 @@
 	"cottonwell/internal/fleet/lease"
 	"cottonwell/internal/fleet/members"
 	"cottonwell/internal/fleet/rules"
-	"cottonwell/internal/fleet/shares"
+	"cottonwell/internal/fleet/usage"
 )
 
 // Config configures a Machine.
@@ -26,7 +26,7 @@
 	Members   members.Config
 	Lease     lease.Config
 	Health    *health.Config // nil disables the shared health checks
-	Shares    *shares.Config // nil disables the shared usage counts
+	Shares    *usage.Config  // nil disables the shared usage counts
 	Rules     *rules.Config  // nil disables agreed settings: each scheduler uses its own
 	Addresses []string       // of the schedulers, by number
 }
@@ -54,7 +54,7 @@
 			return err
 		}
 	}
-	for name, on := range map[string]bool{health.Duty: c.Health != nil, shares.Duty: c.Shares != nil, rules.Duty: c.Rules != nil} {
+	for name, on := range map[string]bool{health.Duty: c.Health != nil, usage.Duty: c.Shares != nil, rules.Duty: c.Rules != nil} {
 		if on && !slices.ContainsFunc(c.Lease.Duties, func(d lease.Duty) bool { return d.Name == name }) {
 			return fmt.Errorf("fleet: duty %q is not configured", name)
 		}
@@ -86,13 +86,13 @@
 
 // The kinds of events.
 const (
-	Due     EventKind = iota // the requested wake-up time is reached: Asked
-	Heard                    // a datagram was received: From, Raw
-	Resign                   // this scheduler shuts down
-	Doubted                  // this scheduler took Target out of its selection: Failing
-	Probed                   // a probe of Target ended: Answered
-	Listed                   // Targets is the complete list of targets
-	Publish                  // Doc is to be put into force
+	Due              EventKind = iota // the requested wake-up time is reached: Asked
+	DatagramReceived                  // a datagram was received: From, Raw
+	Resign                            // this scheduler shuts down
+	TargetSuspected                   // this scheduler took Target out of its selection: Failing
+	ProbeDone                         // a probe of Target ended: Answered
+	TargetsListed                     // Targets is the complete list of targets
+	Publish                           // Doc is to be put into force
 )
 
 // Event is one input to the Machine. Kind determines which fields are used.
@@ -102,13 +102,13 @@
 	From int
 	Raw  string
 
-	Target   string
-	Failing  bool
-	Answered bool
-	Targets  []string
-	Zones    map[string]string // zones of Targets
-	Doc      *rules.Doc
-	Asked    []uint64 // requests received by this scheduler since its start, by tenant; if Config.Shares is set
+	Target    string
+	Failing   bool
+	Responded bool
+	Targets   []string
+	Zones     map[string]string // zones of Targets
+	Doc       *rules.Doc
+	Requests  []uint64 // requests received by this scheduler since its start, by tenant; if Config.Shares is set
 }
 
 // ActionKind is the kind of an Action.
@@ -116,36 +116,36 @@
 
 // The kinds of actions.
 const (
-	Tell    ActionKind = iota // send a datagram: To, Raw
-	Wake                      // deliver Due at At; replaces an earlier wake-up
-	Gained                    // this scheduler holds a duty from now on: Duty, Number, Note
-	Lost                      // this scheduler no longer holds a duty: Duty, Number; Note is the reason
-	Took                      // an act of To under Number was accepted
-	Refused                   // an act of To under Number was refused, because a newer number is known
-	Learnt                    // To holds a duty under Number, as reported by a voter or by To
-	Changed                   // the state of member To changed: State
-	Probe                     // probe Target
-	Judged                    // under Duty's Number: exclude Target for Lasts ms; 0: Target may be used again
-	Rule                      // apply Doc, of Version, until At; Strict: Doc is its strict form and has no end
-	Adopted                   // all live members apply Version
-	Dropped                   // the document Digest is dropped, because To does not accept it: Note
-	Alarm                     // an inconsistency was detected: Note, of Version
-	Shared                    // under Duty's Number, for Lasts ms: Parts are the fractions of tenants' requests within their shares
+	Send             ActionKind = iota // send a datagram: To, Raw
+	Wake                               // deliver Due at At; replaces an earlier wake-up
+	Gained                             // this scheduler holds a duty from now on: Duty, Number, Note
+	Lost                               // this scheduler no longer holds a duty: Duty, Number; Note is the reason
+	ActAccepted                        // an act of To under Number was accepted
+	ActRefused                         // an act of To under Number was refused, because a newer number is known
+	HolderChanged                      // To holds a duty under Number, as reported by a voter or by To
+	Changed                            // the state of member To changed: State
+	Probe                              // probe Target
+	Verdict                            // under Duty's Number: exclude Target for Lasts ms; 0: Target may be used again
+	ApplyRules                         // apply Doc, of Version, until At; Strict: Doc is its strict form and has no end
+	Adopted                            // all live members apply Version
+	RulesRefused                       // the document Digest is dropped, because To does not accept it: Note
+	Alarm                              // an inconsistency was detected: Note, of Version
+	FractionsChanged                   // under Duty's Number, for Lasts ms: Parts are the fractions of tenants' requests within their shares
 )
 
 // Action is one output of the Machine. The host carries out actions in order.
 type Action struct {
-	Kind   ActionKind
-	To     int
-	Raw    string
-	At     float64
-	Duty   string
-	Number uint64
-	Note   string
-	State  members.State
-	Target string
-	Lasts  float64
-	Parts  map[string]float64
+	Kind      ActionKind
+	To        int
+	Raw       string
+	At        float64
+	Duty      string
+	Number    uint64
+	Note      string
+	State     members.State
+	Target    string
+	Lasts     float64
+	Fractions map[string]float64
 
 	Doc     *rules.Doc
 	Version rules.Version
@@ -160,7 +160,7 @@
 	members        *members.Machine
 	leases         *lease.Machine
 	health         *health.Machine // nil if disabled
-	shares         *shares.Machine // nil if disabled
+	shares         *usage.Machine  // nil if disabled
 	rules          *rules.Machine  // nil if disabled
 	dutyIndex      map[string]int
 	wakes          [5]float64 // wake-up times of members, leases, health, shares and rules, in this order
@@ -171,8 +171,8 @@
 	leaseActions   []lease.Action
 	healthActions  []health.Action
 	healthMsg      health.Msg
-	sharesActions  []shares.Action
-	sharesMsg      shares.Msg
+	sharesActions  []usage.Action
+	sharesMsg      usage.Msg
 	rulesActions   []rules.Action
 	rulesMsg       rules.Msg
 	raw            []byte
@@ -209,7 +209,7 @@
 		}
 	}
 	if config.Shares != nil {
-		if m.shares, err = shares.New(*config.Shares, now); err != nil {
+		if m.shares, err = usage.New(*config.Shares, now); err != nil {
 			return nil, err
 		}
 	}
@@ -230,17 +230,17 @@
 		m.stepMembers(now, &members.Event{Kind: members.Due})
 		m.stepLeases(now, &lease.Event{Kind: lease.Due, Wall: ev.Wall})
 		m.stepHealth(now, &health.Event{Kind: health.Due})
-		m.stepShares(now, &shares.Event{Kind: shares.Due, Requests: ev.Asked})
+		m.stepShares(now, &usage.Event{Kind: usage.Due, Requests: ev.Requests})
 		m.stepRules(now, &rules.Event{Kind: rules.Due})
-	case Doubted:
+	case TargetSuspected:
 		m.stepHealth(now, &health.Event{Kind: health.TargetSuspected, Target: ev.Target, Failing: ev.Failing})
-	case Probed:
-		m.stepHealth(now, &health.Event{Kind: health.ProbeDone, Target: ev.Target, Responded: ev.Answered})
-	case Listed:
+	case ProbeDone:
+		m.stepHealth(now, &health.Event{Kind: health.ProbeDone, Target: ev.Target, Responded: ev.Responded})
+	case TargetsListed:
 		m.stepHealth(now, &health.Event{Kind: health.TargetsListed, Targets: ev.Targets})
 	case Publish:
 		m.stepRules(now, &rules.Event{Kind: rules.Publish, Doc: ev.Doc})
-	case Heard:
+	case DatagramReceived:
 		m.receive(now, ev)
 	case Resign:
 		m.stepLeases(now, &lease.Event{Kind: lease.Resign, Wall: ev.Wall})
@@ -254,9 +254,9 @@
 	return acts
 }
 
-// Reads reports whether a datagram is one of the fleet's protocols, and not a load report.
-func Reads(raw string) bool {
-	return len(raw) > 0 && slices.Contains([]byte{members.Version, lease.Version, health.Version, shares.Version, rules.Format}, raw[0])
+// IsFleetDatagram reports whether a datagram is one of the fleet's protocols, and not a load report.
+func IsFleetDatagram(raw string) bool {
+	return len(raw) > 0 && slices.Contains([]byte{members.Version, lease.Version, health.Version, usage.Version, rules.Format}, raw[0])
 }
 
 func (m *Machine) receive(now float64, ev *Event) {
@@ -277,9 +277,9 @@
 		if m.recordContact(now, ev.From, m.healthMsg.Parse(m.raw, m.digest)) {
 			m.stepHealth(now, &health.Event{Kind: health.MessageReceived, From: ev.From, Msg: &m.healthMsg})
 		}
-	case len(m.raw) > 0 && m.raw[0] == shares.Version && m.shares != nil:
+	case len(m.raw) > 0 && m.raw[0] == usage.Version && m.shares != nil:
 		if m.recordContact(now, ev.From, m.sharesMsg.Parse(m.raw, m.digest)) {
-			m.stepShares(now, &shares.Event{Kind: shares.MessageReceived, From: ev.From, Msg: &m.sharesMsg})
+			m.stepShares(now, &usage.Event{Kind: usage.MessageReceived, From: ev.From, Msg: &m.sharesMsg})
 		}
 	case len(m.raw) > 0 && m.raw[0] == rules.Format && m.rules != nil:
 		if m.recordContact(now, ev.From, m.rulesMsg.Parse(m.raw, m.digest)) {
@@ -308,7 +308,7 @@
 		switch a := &m.membersActions[i]; a.Kind {
 		case members.Send:
 			m.raw = a.Msg.Append(m.raw[:0], m.digest)
-			m.actions = append(m.actions, Action{Kind: Tell, To: a.To, Raw: string(m.raw)})
+			m.actions = append(m.actions, Action{Kind: Send, To: a.To, Raw: string(m.raw)})
 		case members.Wake:
 			m.wakes[0] = a.At
 		case members.Changed:
@@ -332,7 +332,7 @@
 		switch a.Kind {
 		case lease.Send:
 			m.raw = a.Msg.Append(m.raw[:0], m.digest)
-			out = Action{Kind: Tell, To: a.To, Raw: string(m.raw)}
+			out = Action{Kind: Send, To: a.To, Raw: string(m.raw)}
 		case lease.Wake:
 			m.wakes[1] = a.At
 			continue
@@ -341,11 +341,11 @@
 		case lease.Lost:
 			out.Kind, out.Duty, out.Note = Lost, m.config.Lease.Duties[a.Duty].Name, a.Reason
 		case lease.ActAccepted:
-			out.Kind, out.Duty = Took, m.config.Lease.Duties[a.Duty].Name
+			out.Kind, out.Duty = ActAccepted, m.config.Lease.Duties[a.Duty].Name
 		case lease.ActRefused:
-			out.Kind, out.Duty = Refused, m.config.Lease.Duties[a.Duty].Name
+			out.Kind, out.Duty = ActRefused, m.config.Lease.Duties[a.Duty].Name
 		case lease.HolderChanged:
-			out.Kind, out.Duty = Learnt, m.config.Lease.Duties[a.Duty].Name
+			out.Kind, out.Duty = HolderChanged, m.config.Lease.Duties[a.Duty].Name
 		}
 		m.actions = append(m.actions, out)
 	}
@@ -368,7 +368,7 @@
 		case health.Probe:
 			m.actions = append(m.actions, Action{Kind: Probe, Target: a.Target})
 		case health.Verdict:
-			m.actions = append(m.actions, Action{Kind: Judged, Duty: health.Duty, Number: a.Number, Target: a.Target, Lasts: a.Lasts})
+			m.actions = append(m.actions, Action{Kind: Verdict, Duty: health.Duty, Number: a.Number, Target: a.Target, Lasts: a.Lasts})
 		case health.Wake:
 			m.wakes[2] = a.At
 		}
@@ -389,31 +389,31 @@
 func (m *Machine) sendRaw(who int) {
 	raw := string(m.raw)
 	if who >= 0 {
-		m.actions = append(m.actions, Action{Kind: Tell, To: who, Raw: raw})
+		m.actions = append(m.actions, Action{Kind: Send, To: who, Raw: raw})
 		return
 	}
 	for to := range m.config.Lease.Fleet {
 		if to != m.config.Lease.Self && m.members.Alive(to) {
-			m.actions = append(m.actions, Action{Kind: Tell, To: to, Raw: raw})
+			m.actions = append(m.actions, Action{Kind: Send, To: to, Raw: raw})
 		}
 	}
 }
 
 // stepShares passes an event to the usage counts, with the current state of their duty.
-func (m *Machine) stepShares(now float64, ev *shares.Event) {
+func (m *Machine) stepShares(now float64, ev *usage.Event) {
 	if m.shares == nil {
 		return
 	}
-	ev.Holder, _, ev.Newest, ev.Number = m.dutyState(shares.Duty, now)
+	ev.Holder, _, ev.Newest, ev.Number = m.dutyState(usage.Duty, now)
 	m.sharesActions = m.shares.Step(now, ev, m.sharesActions[:0])
 	for i := range m.sharesActions {
 		switch a := &m.sharesActions[i]; a.Kind {
-		case shares.Send:
+		case usage.Send:
 			m.raw = a.Msg.Append(m.raw[:0], m.digest)
 			m.sendRaw(a.To)
-		case shares.PartsChanged:
-			m.actions = append(m.actions, Action{Kind: Shared, Duty: shares.Duty, Number: a.Number, Lasts: a.Lasts, Parts: a.Parts})
-		case shares.Wake:
+		case usage.FractionsChanged:
+			m.actions = append(m.actions, Action{Kind: FractionsChanged, Duty: usage.Duty, Number: a.Number, Lasts: a.Lasts, Fractions: a.Fractions})
+		case usage.Wake:
 			m.wakes[3] = a.At
 		}
 	}
@@ -439,7 +439,7 @@
 			m.wakes[4] = a.At
 			continue
 		case rules.Apply:
-			out.Kind = Rule
+			out.Kind = ApplyRules
 			if m.shares != nil {
 				agreed := map[string]float64{}
 				for name, t := range a.Doc.Tenants {
@@ -452,7 +452,7 @@
 		case rules.Adopted:
 			out.Kind = Adopted
 		case rules.Refused:
-			out.Kind = Dropped
+			out.Kind = RulesRefused
 		case rules.Alarm:
 			out.Kind = Alarm
 		}
@@ -476,8 +476,8 @@
 	return m.leases.Holds(d, now)
 }
 
-// Until returns when this scheduler's hold on a duty ends unless its lease is renewed.
-func (m *Machine) Until(duty string) float64 { return m.leases.HeldUntil(m.dutyIndex[duty]) }
+// HeldUntil returns when this scheduler's hold on a duty ends unless its lease is renewed.
+func (m *Machine) HeldUntil(duty string) float64 { return m.leases.HeldUntil(m.dutyIndex[duty]) }
 
 // SetHandoverNote sets the note that is sent to the successor when a duty is handed over.
 func (m *Machine) SetHandoverNote(duty, note string) {
@@ -517,5 +517,5 @@
 // Alive reports whether a scheduler is not declared dead.
 func (m *Machine) Alive(who int) bool { return m.members.Alive(who) }
 
-// Living returns the number of schedulers that are not declared dead, including this one.
-func (m *Machine) Living() int { return m.members.Count() }
+// LiveMembers returns the number of schedulers that are not declared dead, including this one.
+func (m *Machine) LiveMembers() int { return m.members.Count() }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -15,7 +15,7 @@
 func testConfig(self, n int, duties ...string) Config {
 	c := Config{Members: members.Default(), Lease: lease.Default()}
 	c.Members.Self, c.Members.Fleet = self, n
-	c.Lease.Self, c.Lease.Fleet, c.Lease.Voters, c.Lease.Life = self, n, min(n, 5), uint32(self+1)
+	c.Lease.Self, c.Lease.Fleet, c.Lease.Voters, c.Lease.RunID = self, n, min(n, 5), uint32(self+1)
 	for i := range n {
 		c.Addresses = append(c.Addresses, fmt.Sprintf("127.0.0.1:%d", 9000+i))
 	}
@@ -36,7 +36,7 @@
 		"duties configured; at most 1024 are allowed": func(c *Config) { c.Lease.Duties = make([]lease.Duty, 1025) },
 		"1 zones configured for 5":                    func(c *Config) { c.Lease.Zones = []string{"a"} },
 		"period is 1ms":                               func(c *Config) { c.Members.Period = 1 },
-		"answer_in is 400ms":                          func(c *Config) { c.Members.AnswerIn = 400 },
+		"answer_in is 400ms":                          func(c *Config) { c.Members.PingTimeout = 400 },
 		"helpers is 9":                                func(c *Config) { c.Members.Helpers = 9 },
 		"4 addresses, 5 schedulers and 5 members":     func(c *Config) { c.Addresses = c.Addresses[:4] },
 	} {
@@ -61,13 +61,13 @@
 		require.NoError(t, err)
 		for now := 0.0; datagrams[i] == ""; now += 50 {
 			for _, a := range o.Step(now, &Event{Kind: Due}, nil) {
-				if a.Kind == Tell && a.To == 0 && a.Raw[0] == lease.Version {
+				if a.Kind == Send && a.To == 0 && a.Raw[0] == lease.Version {
 					datagrams[i] = a.Raw
 				}
 			}
 		}
 	}
-	receive := func(raw string) []Action { return m.Step(1000, &Event{Kind: Heard, From: 1, Raw: raw}, nil) }
+	receive := func(raw string) []Action { return m.Step(1000, &Event{Kind: DatagramReceived, From: 1, Raw: raw}, nil) }
 	require.NotEmpty(t, receive(datagrams[0]), "a voter responds")
 	require.Zero(t, m.Unreadable)
 	receive(datagrams[1])
@@ -79,8 +79,8 @@
 		receive(string(b))
 	}
 	require.Equal(t, 1+2*len(datagrams[0])-2, m.Unreadable, "all but the empty datagram and the one whose first byte is that of another version")
-	require.True(t, Reads(datagrams[0]))
-	require.False(t, Reads("") || Reads("\x01abc"))
+	require.True(t, IsFleetDatagram(datagrams[0]))
+	require.False(t, IsFleetDatagram("") || IsFleetDatagram("\x01abc"))
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 20_000 {
 		b := make([]byte, rng.IntN(300))
@@ -94,7 +94,7 @@
 	}
 	_, held := m.View(1000)
 	require.Equal(t, -1, held[0].Holder)
-	require.Equal(t, 5, m.Living())
+	require.Equal(t, 5, m.LiveMembers())
 }
 
 // Whatever messages arrive in whatever order, a voter grants a duty to another scheduler only after
--- a/internal/fleet/health/health.go
+++ b/internal/fleet/health/health.go
@@ -38,17 +38,17 @@
 
 // Config configures a Machine.
 type Config struct {
-	Self, Fleet int
-	Tellers     int     // schedulers that must suspect a target, or half of the live members if that is less
-	Window      float64 // ms that a suspicion counts
-	Lasts       float64 // ms that a verdict is valid from its receipt
-	Every       float64 // ms between two sends of the verdicts, and between two probes of a target
-	Most        float64 // maximum share of the listed targets that may be unhealthy at once
+	Self, Fleet       int
+	Reporters         int     // schedulers that must suspect a target, or half of the live members if that is less
+	Window            float64 // ms that a suspicion counts
+	ValidFor          float64 // ms that a verdict is valid from its receipt
+	Interval          float64 // ms between two sends of the verdicts, and between two probes of a target
+	MaxUnhealthyShare float64 // maximum share of the listed targets that may be unhealthy at once
 }
 
 // Default returns the values of settings that the operator's file omits.
 func Default() Config {
-	return Config{Tellers: 3, Window: 1500, Lasts: 1500, Every: 500, Most: 0.25}
+	return Config{Reporters: 3, Window: 1500, ValidFor: 1500, Interval: 500, MaxUnhealthyShare: 0.25}
 }
 
 // Check returns an error that names the first invalid setting.
@@ -56,16 +56,16 @@
 	switch {
 	case c.Fleet < 1 || c.Self < 0 || c.Self >= c.Fleet:
 		return fmt.Errorf("examiner: scheduler %d of %d is out of range", c.Self, c.Fleet)
-	case c.Tellers < 1 || c.Tellers > 15:
-		return fmt.Errorf("examiner: tellers is %d; it must be 1 to 15", c.Tellers)
+	case c.Reporters < 1 || c.Reporters > 15:
+		return fmt.Errorf("examiner: tellers is %d; it must be 1 to 15", c.Reporters)
 	case !(c.Window >= 100 && c.Window <= 60_000):
 		return fmt.Errorf("examiner: window is %gms; it must be 100ms to 1m", c.Window)
-	case !(c.Every >= 50 && c.Every <= 10_000):
-		return fmt.Errorf("examiner: every is %gms; it must be 50ms to 10s", c.Every)
-	case !(c.Lasts >= 2*c.Every && c.Lasts <= 60_000):
-		return fmt.Errorf("examiner: lasts is %gms; it must be from twice every (%gms) to 1m, or one lost datagram would end a verdict", c.Lasts, c.Every)
-	case !(c.Most > 0 && c.Most <= 0.5):
-		return fmt.Errorf("examiner: most is %g; it must be above 0 and at most 0.5", c.Most)
+	case !(c.Interval >= 50 && c.Interval <= 10_000):
+		return fmt.Errorf("examiner: every is %gms; it must be 50ms to 10s", c.Interval)
+	case !(c.ValidFor >= 2*c.Interval && c.ValidFor <= 60_000):
+		return fmt.Errorf("examiner: lasts is %gms; it must be from twice every (%gms) to 1m, or one lost datagram would end a verdict", c.ValidFor, c.Interval)
+	case !(c.MaxUnhealthyShare > 0 && c.MaxUnhealthyShare <= 0.5):
+		return fmt.Errorf("examiner: most is %g; it must be above 0 and at most 0.5", c.MaxUnhealthyShare)
 	}
 	return nil
 }
@@ -249,7 +249,7 @@
 		return
 	}
 	target.suspicions = slices.DeleteFunc(target.suspicions, func(x suspicion) bool { return x.reporter == report.reporter || now-x.at > m.config.Window })
-	if len(target.suspicions) < m.config.Tellers {
+	if len(target.suspicions) < m.config.Reporters {
 		target.suspicions = append(target.suspicions, report)
 	}
 	if target.unhealthy || !m.enoughReporters(target, ev) {
@@ -271,7 +271,7 @@
 // enoughReporters reports whether enough schedulers suspect a target for it to be checked. In a small
 // fleet half of the live members is enough.
 func (m *Machine) enoughReporters(target *targetState, ev *Event) bool {
-	return len(target.suspicions) >= max(1, min(m.config.Tellers, (ev.LiveMembers+1)/2))
+	return len(target.suspicions) >= max(1, min(m.config.Reporters, (ev.LiveMembers+1)/2))
 }
 
 func (m *Machine) startProbe(now float64, target *targetState) {
@@ -304,17 +304,17 @@
 			unhealthy++
 		}
 	}
-	if unhealthy > 1 && float64(unhealthy) > m.config.Most*float64(len(m.targets)) || len(m.targets) < 2 {
+	if unhealthy > 1 && float64(unhealthy) > m.config.MaxUnhealthyShare*float64(len(m.targets)) || len(m.targets) < 2 {
 		m.Counts.Capped++
 		target.suspicions = target.suspicions[:0]
 		return
 	}
-	if target.verdictsInRow++; now-target.verdictEndedAt > 8*m.config.Lasts {
+	if target.verdictsInRow++; now-target.verdictEndedAt > 8*m.config.ValidFor {
 		target.verdictsInRow = 1
 	}
 	m.Counts.Verdicts++
 	target.unhealthy, target.verdictFailing, target.recoverySendsLeft, m.changed = true, failing, 0, true
-	target.unhealthyUntil = now + m.config.Lasts*float64(int(1)<<min(target.verdictsInRow-1, maxVerdictDoublings))
+	target.unhealthyUntil = now + m.config.ValidFor*float64(int(1)<<min(target.verdictsInRow-1, maxVerdictDoublings))
 }
 
 // endVerdict ends a verdict: it expires, or it is withdrawn because the target responded.
@@ -365,24 +365,24 @@
 			m.endVerdict(now, target, 0) // each scheduler tries it again by itself, at its own time
 		case target.verdictFailing:
 			next = min(next, target.unhealthyUntil)
-		case !target.probing && now >= target.probedAt+m.config.Every:
+		case !target.probing && now >= target.probedAt+m.config.Interval:
 			m.startProbe(now, target)
 			next = min(next, now+probeTimeoutMS+1)
 		case !target.probing:
-			next = min(next, target.probedAt+m.config.Every)
+			next = min(next, target.probedAt+m.config.Interval)
 		default:
 			next = min(next, target.probedAt+probeTimeoutMS+1)
 		}
 		busy = busy || target.unhealthy || target.recoverySendsLeft > 0
 	}
 	if busy && m.number > 0 {
-		at := m.lastSentAt + m.config.Every
+		at := m.lastSentAt + m.config.Interval
 		if m.changed {
 			at = m.lastSentAt + minSendGapMS
 		}
 		if now >= at {
 			m.sendVerdicts(now)
-			at = now + m.config.Every
+			at = now + m.config.Interval
 		}
 		next = min(next, at)
 	}
@@ -394,7 +394,7 @@
 // sendSuspicion reports this scheduler's suspicion to the health checker. While no holder of the duty
 // is known, the suspicion stays pending.
 func (m *Machine) sendSuspicion(now float64, target *targetState, ev *Event) {
-	target.sendAt = now + m.config.Every/2
+	target.sendAt = now + m.config.Interval/2
 	switch {
 	case m.number > 0:
 		target.sendsLeft = 0
@@ -421,7 +421,7 @@
 	}
 	for part := range slices.Chunk(entries, MaxEntries) {
 		m.seq++
-		msg := &Msg{Kind: Verdicts, Number: m.number, Seq: m.seq, Lasts: m.config.Lasts, Entries: part}
+		msg := &Msg{Kind: Verdicts, Number: m.number, Seq: m.seq, Lasts: m.config.ValidFor, Entries: part}
 		m.emit(Action{Kind: Send, To: -1, Msg: msg})
 		m.applyVerdicts(now, msg, 0)
 	}
--- a/internal/fleet/health/health_test.go
+++ b/internal/fleet/health/health_test.go
@@ -18,7 +18,7 @@
 type testFleet struct {
 	vtime.Queue
 	t             require.TestingT
-	network       *faults.Net
+	network       *faults.DatagramFaults
 	machines      []*Machine
 	wakes         []float64
 	holder        int // -1: no scheduler
@@ -35,7 +35,7 @@
 var targetIDs = []string{"a", "b", "c", "d", "e", "f", "g", "h"}
 
 func newTestFleet(t require.TestingT, n int, script faults.Script, seed uint64) *testFleet {
-	x := &testFleet{t: t, network: &faults.Net{Script: script, Base: 5, Rng: rand.New(rand.NewPCG(seed, 1))}, holder: 0, number: 10, staleHolder: -1,
+	x := &testFleet{t: t, network: &faults.DatagramFaults{Script: script, MeanDelay: 5, Rng: rand.New(rand.NewPCG(seed, 1))}, holder: 0, number: 10, staleHolder: -1,
 		silent: map[string]bool{}, allExcludedAt: map[string]float64{}}
 	c := Default()
 	c.Fleet = n
@@ -65,7 +65,7 @@
 			for to := range x.machines {
 				if to != i && (a.To < 0 || a.To == to) {
 					x.sends++
-					for _, d := range x.network.Pass(x.Now, i, to, raw) {
+					for _, d := range x.network.Deliver(x.Now, i, to, raw) {
 						x.After(d.After, func() {
 							var msg Msg
 							if msg.Parse([]byte(d.Raw), 7) == nil {
@@ -187,7 +187,7 @@
 	x.run(100)
 	require.Equal(t, 20, x.excluding("c"))
 	x.holder = -1
-	x.run(Default().Lasts + 10)
+	x.run(Default().ValidFor + 10)
 	require.Zero(t, x.excluding("c"), "without a health checker each scheduler evaluates targets by itself")
 	x.suspect("c", false, 3, 4, 5)
 	x.run(500)
@@ -254,7 +254,7 @@
 		}
 		require.Greater(t, excluded, 8*n, "seed %d: of 10 samples of %d schedulers", seed, n)
 		x.silent["c"] = false
-		x.run(3000 + Default().Lasts + 100) // the latest duplicate has arrived by then
+		x.run(3000 + Default().ValidFor + 100) // the latest duplicate has arrived by then
 		require.Zero(t, x.excluding("c"), "seed %d", seed)
 		require.Zero(t, x.excluding("d"), "seed %d", seed)
 	}
@@ -280,21 +280,21 @@
 func TestInvalidSettings(t *testing.T) {
 	for want, change := range map[string]func(*Config){
 		"scheduler 5 of 5":      func(c *Config) { c.Self = 5 },
-		"tellers is 0":          func(c *Config) { c.Tellers = 0 },
+		"tellers is 0":          func(c *Config) { c.Reporters = 0 },
 		"window is 1ms":         func(c *Config) { c.Window = 1 },
-		"every is 1ms":          func(c *Config) { c.Every = 1 },
-		"lasts is 600ms":        func(c *Config) { c.Lasts = 600 },
-		"most is 0.9":           func(c *Config) { c.Most = 0.9 },
-		"most is NaN":           func(c *Config) { c.Most = math.NaN() },
+		"every is 1ms":          func(c *Config) { c.Interval = 1 },
+		"lasts is 600ms":        func(c *Config) { c.ValidFor = 600 },
+		"most is 0.9":           func(c *Config) { c.MaxUnhealthyShare = 0.9 },
+		"most is NaN":           func(c *Config) { c.MaxUnhealthyShare = math.NaN() },
 		"window is +Infms":      func(c *Config) { c.Window = math.Inf(1) },
 		"scheduler 0 of 0":      func(c *Config) { c.Fleet = 0 },
-		"tellers is 16":         func(c *Config) { c.Tellers = 16 },
-		"every is 20000ms":      func(c *Config) { c.Every, c.Lasts = 20_000, 60_000 },
-		"lasts is 100000ms":     func(c *Config) { c.Lasts = 100_000 },
+		"tellers is 16":         func(c *Config) { c.Reporters = 16 },
+		"every is 20000ms":      func(c *Config) { c.Interval, c.ValidFor = 20_000, 60_000 },
+		"lasts is 100000ms":     func(c *Config) { c.ValidFor = 100_000 },
 		"window is 100000ms":    func(c *Config) { c.Window = 100_000 },
 		"scheduler -1 of 5":     func(c *Config) { c.Self = -1 },
-		"most is 0; it":         func(c *Config) { c.Most = 0 },
-		"from twice every (500": func(c *Config) { c.Lasts = 999 },
+		"most is 0; it":         func(c *Config) { c.MaxUnhealthyShare = 0 },
+		"from twice every (500": func(c *Config) { c.ValidFor = 999 },
 	} {
 		c := Default()
 		c.Fleet = 5
--- a/internal/fleet/health/msg.go
+++ b/internal/fleet/health/msg.go
@@ -3,7 +3,7 @@
 import (
 	"encoding/binary"
 
-	"cottonwell/internal/fleet/frame"
+	"cottonwell/internal/fleet/datagram"
 )
 
 // MsgKind is the kind of a message.
@@ -38,7 +38,7 @@
 	fixedSize = 1 + 8 + 4 + 2
 	entrySize = 5
 	// MaxEntries is the maximum number of targets in one message.
-	MaxEntries = (frame.MaxSize - frame.HeaderSize - fixedSize) / entrySize
+	MaxEntries = (datagram.MaxSize - datagram.HeaderSize - fixedSize) / entrySize
 )
 
 const (
@@ -49,7 +49,7 @@
 // Append encodes a message as a datagram and appends it to raw. digest is the hash of the
 // configuration that must be equal on both ends.
 func (msg *Msg) Append(raw []byte, digest uint32) []byte {
-	raw = append(frame.Begin(raw, Version, digest), byte(msg.Kind))
+	raw = append(datagram.Begin(raw, Version, digest), byte(msg.Kind))
 	raw = binary.LittleEndian.AppendUint64(raw, msg.Number)
 	raw = binary.LittleEndian.AppendUint32(raw, msg.Seq)
 	raw = binary.LittleEndian.AppendUint16(raw, uint16(min(65535, max(0, msg.Lasts/2+0.5))))
@@ -57,7 +57,7 @@
 		raw = binary.LittleEndian.AppendUint32(raw, e.Target)
 		raw = append(raw, byte(failingFlag*btoi(e.Failing)|healthyFlag*btoi(e.Healthy)))
 	}
-	return frame.Seal(raw)
+	return datagram.Seal(raw)
 }
 
 func btoi(b bool) int {
@@ -69,13 +69,13 @@
 
 // Parse decodes a datagram and retains no reference to it.
 func (msg *Msg) Parse(raw []byte, digest uint32) error {
-	body, err := frame.Open(raw, Version, digest)
+	body, err := datagram.Open(raw, Version, digest)
 	if err != nil {
 		return err
 	}
 	n := (len(body) - fixedSize) / entrySize
 	if len(body) <= fixedSize || len(body) != fixedSize+n*entrySize || body[0] < byte(Suspicions) || body[0] > byte(Verdicts) || body[0] == byte(Suspicions) && n != 1 {
-		return frame.ErrInvalid
+		return datagram.ErrInvalid
 	}
 	*msg = Msg{Kind: MsgKind(body[0]), Number: binary.LittleEndian.Uint64(body[1:]), Seq: binary.LittleEndian.Uint32(body[9:]),
 		Lasts: 2 * float64(binary.LittleEndian.Uint16(body[13:])), Entries: msg.Entries[:0]}
--- a/internal/fleet/lease/bid.go
+++ b/internal/fleet/lease/claim.go
@@ -112,7 +112,7 @@
 // timer.
 func (m *Machine) sendRound(duty int) {
 	claim := &m.claims[duty]
-	msg := Msg{Kind: Request, Duty: claim.id, RunID: m.config.Life, Seq: claim.seq, Number: claim.number}
+	msg := Msg{Kind: Request, Duty: claim.id, RunID: m.config.RunID, Seq: claim.seq, Number: claim.number}
 	if claim.phase == querying {
 		msg.Kind = Query
 	}
@@ -139,7 +139,7 @@
 	if msg.Kind == Held && !claim.endedByHandover(msg) {
 		m.learnHolder(duty, msg.Holder, msg.Number, m.now+msg.Remaining)
 	}
-	if claim.phase == idle || msg.RunID != m.config.Life || msg.Seq != claim.seq {
+	if claim.phase == idle || msg.RunID != m.config.RunID || msg.Seq != claim.seq {
 		return
 	}
 	bit := uint16(1) << from
@@ -239,7 +239,7 @@
 func (m *Machine) release(duty int) {
 	claim := &m.claims[duty]
 	for v := range m.config.Voters {
-		m.send(v, Msg{Kind: Release, Duty: claim.id, RunID: m.config.Life, Seq: claim.seq, Number: claim.number})
+		m.send(v, Msg{Kind: Release, Duty: claim.id, RunID: m.config.RunID, Seq: claim.seq, Number: claim.number})
 	}
 }
 
@@ -269,7 +269,7 @@
 // it yet; without the delayed offers the rest would wait for the lease to end.
 func (m *Machine) handOver(duty int) {
 	claim := &m.claims[duty]
-	msg := Msg{Kind: Handover, Duty: claim.id, RunID: m.config.Life, Number: claim.number, Note: claim.note}
+	msg := Msg{Kind: Handover, Duty: claim.id, RunID: m.config.RunID, Number: claim.number, Note: claim.note}
 	for i, to := range m.successors(duty) {
 		msg.Remaining = float64(i) * m.config.Lease / 8
 		m.emit(Action{Kind: Send, To: to, Msg: msg})
@@ -302,7 +302,7 @@
 func (m *Machine) announce(duty int) {
 	claim := &m.claims[duty]
 	claim.announcedAt = m.now
-	msg := Msg{Kind: Announce, Duty: claim.id, RunID: m.config.Life, Number: claim.number, Remaining: claim.until - m.now}
+	msg := Msg{Kind: Announce, Duty: claim.id, RunID: m.config.RunID, Number: claim.number, Remaining: claim.until - m.now}
 	for who, yes := range m.alive {
 		if yes && who != m.config.Self {
 			m.send(who, msg)
--- a/internal/fleet/lease/lease.go
+++ b/internal/fleet/lease/lease.go
@@ -44,7 +44,7 @@
 	Self, Fleet int
 	Zones       []string // zone of each scheduler, as far as known; may be nil
 	Voters      int      // the schedulers numbered below this vote; must be the same on every scheduler
-	Life        uint32   // random number of this run; separates messages of this run from those of an earlier run of this scheduler
+	RunID       uint32   // random number of this run; separates messages of this run from those of an earlier run of this scheduler
 	Lease       float64  // duration of a grant in ms, by the voter's clock
 	Quiet       float64  // ms after a start in which a voter grants nothing; at least the longest lease in use
 	Drift       float64  // maximum relative clock rate error, fast or slow
@@ -179,7 +179,7 @@
 	if err := config.Check(); err != nil {
 		return nil, err
 	}
-	m := &Machine{config: config, rng: rand.New(rand.NewPCG(config.Seed, uint64(config.Self)<<32|uint64(config.Life))), now: now, quietUntil: now + config.Quiet,
+	m := &Machine{config: config, rng: rand.New(rand.NewPCG(config.Seed, uint64(config.Self)<<32|uint64(config.RunID))), now: now, quietUntil: now + config.Quiet,
 		claims: make([]claimState, len(config.Duties)), dutyByID: map[uint32]int{}, alive: make([]bool, config.Fleet), wakeAt: math.Inf(1)}
 	if config.Unsafe.NoQuiet {
 		m.quietUntil = now
--- a/internal/fleet/lease/msg.go
+++ b/internal/fleet/lease/msg.go
@@ -3,7 +3,7 @@
 import (
 	"encoding/binary"
 
-	"cottonwell/internal/fleet/frame"
+	"cottonwell/internal/fleet/datagram"
 )
 
 // MsgKind is the kind of a message.
@@ -45,24 +45,24 @@
 // Append encodes a message as a datagram and appends it to raw. digest is the hash of the
 // configuration that must be equal on both ends.
 func (msg *Msg) Append(raw []byte, digest uint32) []byte {
-	raw = append(frame.Begin(raw, Version, digest), byte(msg.Kind))
+	raw = append(datagram.Begin(raw, Version, digest), byte(msg.Kind))
 	raw = binary.LittleEndian.AppendUint32(raw, msg.Duty)
 	raw = binary.LittleEndian.AppendUint32(raw, msg.RunID)
 	raw = binary.LittleEndian.AppendUint32(raw, msg.Seq)
 	raw = binary.LittleEndian.AppendUint64(raw, msg.Number)
 	raw = binary.LittleEndian.AppendUint16(raw, uint16(msg.Holder))
 	raw = binary.LittleEndian.AppendUint16(raw, uint16(min(65535, max(0, msg.Remaining/2+0.5))))
-	return frame.Seal(append(raw, msg.Note[:min(len(msg.Note), MaxNoteBytes)]...))
+	return datagram.Seal(append(raw, msg.Note[:min(len(msg.Note), MaxNoteBytes)]...))
 }
 
 // Parse decodes a datagram.
 func (msg *Msg) Parse(raw []byte, digest uint32) error {
-	body, err := frame.Open(raw, Version, digest)
+	body, err := datagram.Open(raw, Version, digest)
 	if err != nil {
 		return err
 	}
 	if len(body) < fixedSize || len(body) > fixedSize+MaxNoteBytes || body[0] < byte(Query) || body[0] > byte(lastKind) {
-		return frame.ErrInvalid
+		return datagram.ErrInvalid
 	}
 	*msg = Msg{Kind: MsgKind(body[0]), Duty: binary.LittleEndian.Uint32(body[1:]), RunID: binary.LittleEndian.Uint32(body[5:]),
 		Seq: binary.LittleEndian.Uint32(body[9:]), Number: binary.LittleEndian.Uint64(body[13:]), Holder: int(binary.LittleEndian.Uint16(body[21:])),
--- a/internal/fleet/members/members.go
+++ b/internal/fleet/members/members.go
@@ -36,13 +36,13 @@
 type Config struct {
 	Self, Fleet int
 	Period      float64 // interval between two pings in ms
-	AnswerIn    float64 // ms to wait for a response before indirect pings are requested
+	PingTimeout float64 // ms to wait for a response before indirect pings are requested
 	Helpers     int     // number of members that are requested to ping indirectly
 	Seed        uint64
 }
 
 // Default returns the values of settings that the operator's file omits.
-func Default() Config { return Config{Period: 500, AnswerIn: 150, Helpers: 3} }
+func Default() Config { return Config{Period: 500, PingTimeout: 150, Helpers: 3} }
 
 // Check returns an error that names the first invalid setting.
 func (c *Config) Check() error {
@@ -51,8 +51,8 @@
 		return fmt.Errorf("members: scheduler %d of %d is out of range; a fleet has up to %d schedulers", c.Self, c.Fleet, MaxFleet)
 	case !(c.Period >= 50 && c.Period <= 60_000):
 		return fmt.Errorf("members: period is %gms; it must be 50ms to 1m", c.Period)
-	case !(c.AnswerIn > 0 && c.AnswerIn <= c.Period/2):
-		return fmt.Errorf("members: answer_in is %gms; it must be above 0 and up to half the period (%gms)", c.AnswerIn, c.Period)
+	case !(c.PingTimeout > 0 && c.PingTimeout <= c.Period/2):
+		return fmt.Errorf("members: answer_in is %gms; it must be above 0 and up to half the period (%gms)", c.PingTimeout, c.Period)
 	case c.Helpers < 0 || c.Helpers > 8:
 		return fmt.Errorf("members: helpers is %d; it must be 0 to 8", c.Helpers)
 	}
@@ -254,7 +254,7 @@
 
 // pingTimeout returns how long a ping response is awaited, in ms.
 func (m *Machine) pingTimeout() float64 {
-	return min(m.config.AnswerIn*float64(1+m.healthPenalty), m.config.Period*0.45*float64(1+m.healthPenalty))
+	return min(m.config.PingTimeout*float64(1+m.healthPenalty), m.config.Period*0.45*float64(1+m.healthPenalty))
 }
 
 func (m *Machine) onTimers() {
--- a/internal/fleet/members/msg.go
+++ b/internal/fleet/members/msg.go
@@ -3,7 +3,7 @@
 import (
 	"encoding/binary"
 
-	"cottonwell/internal/fleet/frame"
+	"cottonwell/internal/fleet/datagram"
 )
 
 // MsgKind is the kind of a message.
@@ -54,7 +54,7 @@
 // Append encodes a message as a datagram and appends it to raw. digest is the hash of the
 // configuration that must be equal on both ends.
 func (msg *Msg) Append(raw []byte, digest uint32) []byte {
-	raw = append(frame.Begin(raw, Version, digest), byte(msg.Kind))
+	raw = append(datagram.Begin(raw, Version, digest), byte(msg.Kind))
 	raw = binary.LittleEndian.AppendUint32(raw, msg.Seq)
 	raw = binary.LittleEndian.AppendUint16(raw, uint16(msg.Target))
 	for _, r := range msg.Updates[:msg.NumUpdates] {
@@ -63,22 +63,22 @@
 		raw = binary.LittleEndian.AppendUint32(raw, r.Incarnation)
 		raw = binary.LittleEndian.AppendUint16(raw, r.Reporter)
 	}
-	return frame.Seal(raw)
+	return datagram.Seal(raw)
 }
 
 // Parse decodes a datagram.
 func (msg *Msg) Parse(raw []byte, digest uint32) error {
-	body, err := frame.Open(raw, Version, digest)
+	body, err := datagram.Open(raw, Version, digest)
 	if err != nil {
 		return err
 	}
 	if len(body) < fixedSize || (len(body)-fixedSize)%updateSize != 0 || (len(body)-fixedSize)/updateSize > maxUpdatesPerMsg || body[0] < byte(Ping) || body[0] > byte(IndirectAck) {
-		return frame.ErrInvalid
+		return datagram.ErrInvalid
 	}
 	msg.Kind, msg.Seq, msg.Target, msg.NumUpdates = MsgKind(body[0]), binary.LittleEndian.Uint32(body[1:]), int(binary.LittleEndian.Uint16(body[5:])), 0
 	for body = body[fixedSize:]; len(body) > 0; body = body[updateSize:] {
 		if State(body[2]) > Left {
-			return frame.ErrInvalid
+			return datagram.ErrInvalid
 		}
 		msg.Updates[msg.NumUpdates] = Update{binary.LittleEndian.Uint16(body), State(body[2]), binary.LittleEndian.Uint32(body[3:]), binary.LittleEndian.Uint16(body[7:])}
 		msg.NumUpdates++
--- a/internal/fleet/rules/doc.go
+++ b/internal/fleet/rules/doc.go
@@ -38,8 +38,8 @@
 
 // Class holds the settings of one class of requests.
 type Class struct {
-	Attempts *int          `toml:"attempts,omitempty"`  // maximum attempts per request
-	ComeBack *units.Millis `toml:"come_back,omitempty"` // retry-after of a refusal for which no better value is known
+	Attempts   *int          `toml:"attempts,omitempty"`  // maximum attempts per request
+	RetryAfter *units.Millis `toml:"come_back,omitempty"` // retry-after of a refusal for which no better value is known
 }
 
 // Tenant holds the settings of one tenant.
@@ -88,8 +88,8 @@
 		switch {
 		case c.Attempts != nil && (*c.Attempts < 1 || *c.Attempts > 100):
 			return fmt.Errorf("class.%s.attempts is %d; it must be 1 to 100", name, *c.Attempts)
-		case c.ComeBack != nil && !(*c.ComeBack >= 0 && *c.ComeBack <= 600_000):
-			return fmt.Errorf("class.%s.come_back is %gms; it must be 0ms to 10m", name, float64(*c.ComeBack))
+		case c.RetryAfter != nil && !(*c.RetryAfter >= 0 && *c.RetryAfter <= 600_000):
+			return fmt.Errorf("class.%s.come_back is %gms; it must be 0ms to 10m", name, float64(*c.RetryAfter))
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(d.Tenants)) {
@@ -181,9 +181,9 @@
 	out := &Doc{Cold: Cold{smaller(a.Cold.Share, b.Cold.Share)}}
 	out.Drains = append(slices.Clone(a.Drains), b.Drains...)
 	out.Classes = mergeMaps(a.Classes, b.Classes, func(x, y Class) Class {
-		z := Class{Attempts: smaller(x.Attempts, y.Attempts), ComeBack: x.ComeBack}
-		if z.ComeBack == nil || y.ComeBack != nil && *y.ComeBack > *z.ComeBack { // a later retry is stricter
-			z.ComeBack = y.ComeBack
+		z := Class{Attempts: smaller(x.Attempts, y.Attempts), RetryAfter: x.RetryAfter}
+		if z.RetryAfter == nil || y.RetryAfter != nil && *y.RetryAfter > *z.RetryAfter { // a later retry is stricter
+			z.RetryAfter = y.RetryAfter
 		}
 		return z
 	})
@@ -278,7 +278,7 @@
 	for _, name := range slices.Sorted(maps.Keys(mergeMaps(from.Classes, to.Classes, func(x, _ Class) Class { return x }))) {
 		a, b := from.Classes[name], to.Classes[name]
 		compare("a request of "+name+": attempts", toFloat(a.Attempts), toFloat(b.Attempts), "")
-		compare("a refusal of "+name+": the default retry-after", toFloat(a.ComeBack), toFloat(b.ComeBack), "ms")
+		compare("a refusal of "+name+": the default retry-after", toFloat(a.RetryAfter), toFloat(b.RetryAfter), "ms")
 	}
 	for _, name := range slices.Sorted(maps.Keys(mergeMaps(from.Tenants, to.Tenants, func(x, _ Tenant) Tenant { return x }))) {
 		compare("tenant "+name+": requests per second within its share", from.Tenants[name].Allowance, to.Tenants[name].Allowance, "")
--- a/internal/fleet/rules/doc_test.go
+++ b/internal/fleet/rules/doc_test.go
@@ -21,7 +21,7 @@
 			c.Attempts = &n
 		}
 		if x := units.Millis(rapid.IntRange(0, 4).Draw(t, "come back")); x > 0 {
-			c.ComeBack = &x
+			c.RetryAfter = &x
 		}
 		d.Classes[name] = c
 	}
--- a/internal/fleet/rules/msg.go
+++ b/internal/fleet/rules/msg.go
@@ -4,7 +4,7 @@
 	"bytes"
 	"encoding/binary"
 
-	"cottonwell/internal/fleet/frame"
+	"cottonwell/internal/fleet/datagram"
 )
 
 // MsgKind is the kind of a message.
@@ -51,7 +51,7 @@
 // Append encodes a message as a datagram and appends it to raw. digest is the hash of the
 // configuration that must be equal on both ends.
 func (msg *Msg) Append(raw []byte, digest uint32) []byte {
-	raw = append(frame.Begin(raw, Format, digest), byte(msg.Kind))
+	raw = append(datagram.Begin(raw, Format, digest), byte(msg.Kind))
 	le := binary.LittleEndian
 	switch msg.Kind {
 	case PieceRequest:
@@ -73,34 +73,34 @@
 		raw = le.AppendUint16(raw, uint16(msg.Scheduler))
 		raw = append(raw, msg.Reason[:min(len(msg.Reason), MaxReasonBytes)]...)
 	}
-	return frame.Seal(raw)
+	return datagram.Seal(raw)
 }
 
 // Parse decodes a datagram and retains no reference to it.
 func (msg *Msg) Parse(raw []byte, digest uint32) error {
-	body, err := frame.Open(raw, Format, digest)
+	body, err := datagram.Open(raw, Format, digest)
 	if err != nil {
 		return err
 	}
 	if len(body) < 1 || body[0] < byte(Request) || body[0] > byte(lastKind) {
-		return frame.ErrInvalid
+		return datagram.ErrInvalid
 	}
 	le := binary.LittleEndian
 	*msg = Msg{Kind: MsgKind(body[0])}
 	switch msg.Kind {
 	case PieceRequest:
 		if len(body) != 17 {
-			return frame.ErrInvalid
+			return datagram.ErrInvalid
 		}
 		msg.Doc, msg.Missing = Digest(le.Uint64(body[1:])), le.Uint64(body[9:])
 	case Piece:
 		if len(body) < 12 || len(body) > 11+PieceSize || int(body[9]) >= int(body[10]) || int(body[10]) > maxPieces {
-			return frame.ErrInvalid
+			return datagram.ErrInvalid
 		}
 		msg.Doc, msg.Index, msg.NumPieces, msg.Data = Digest(le.Uint64(body[1:])), int(body[9]), int(body[10]), bytes.Clone(body[11:])
 	default:
 		if len(body) < fixedSize || len(body) > fixedSize+MaxReasonBytes || body[1] > 1 {
-			return frame.ErrInvalid
+			return datagram.ErrInvalid
 		}
 		msg.Valid, msg.RunID, msg.Seq = body[1] == 1, le.Uint32(body[2:]), le.Uint32(body[6:])
 		msg.Version = Version{le.Uint64(body[10:]), Digest(le.Uint64(body[18:])), Digest(le.Uint64(body[26:]))}
--- a/internal/fleet/rules/publisher.go
+++ b/internal/fleet/rules/publisher.go
@@ -70,7 +70,7 @@
 // advance proceeds to the next version when its conditions are met.
 func (m *Machine) advance(now float64, ev *Event) {
 	if !m.settled {
-		if now >= m.since+m.config.Agree || m.config.Unsafe.NoWait {
+		if now >= m.since+m.config.PermissionTime || m.config.Unsafe.NoWait {
 			m.startGranting(now)
 		}
 		return
@@ -86,7 +86,7 @@
 		}
 		// A peer that does not act on the granted version is dead, isolated, or has not switched
 		// yet. It may act on the previous version until that permission ends.
-		if now < peer.otherGrantedAt+m.config.Agree && !m.config.Unsafe.NoWait {
+		if now < peer.otherGrantedAt+m.config.PermissionTime && !m.config.Unsafe.NoWait {
 			return
 		}
 		all = all && !(ev.Alive == nil || ev.Alive(i))
@@ -111,7 +111,7 @@
 	}
 	version := m.newest
 	if version.Number == 0 {
-		d, err := m.storeDoc(m.config.First)
+		d, err := m.storeDoc(m.config.InitialDoc)
 		if err != nil {
 			m.emit(Action{Kind: Alarm, Scheduler: m.config.Self, Reason: err.Error()}) // cannot happen: New stored the same document
 			return
@@ -119,14 +119,14 @@
 		version = Version{A: d}
 	}
 	if !m.fetchMissing(now, m.schedulerWith(version), version) {
-		if now < m.since+proposalTimeoutLeases*m.config.Agree {
+		if now < m.since+proposalTimeoutLeases*m.config.PermissionTime {
 			return
 		}
 		// No scheduler sends it. Continue with this scheduler's own version rather than with none.
 		m.Counts.Alarms++
 		m.emit(Action{Kind: Alarm, Scheduler: m.config.Self, Version: version, Reason: "no scheduler provides the newest version; an older one is used"})
 		if version = m.current; version.Number == 0 {
-			d, err := m.storeDoc(m.config.First)
+			d, err := m.storeDoc(m.config.InitialDoc)
 			if err != nil {
 				return
 			}
@@ -181,7 +181,7 @@
 		if peer.checked == m.proposal || ev.Alive != nil && !ev.Alive(i) {
 			continue
 		}
-		if now >= m.proposedAt+proposalTimeoutLeases*m.config.Agree {
+		if now >= m.proposedAt+proposalTimeoutLeases*m.config.PermissionTime {
 			m.dropProposal(i, "the scheduler did not report a result for the proposal")
 		}
 		return
--- a/internal/fleet/rules/rules.go
+++ b/internal/fleet/rules/rules.go
@@ -38,12 +38,12 @@
 
 // Config configures a Machine. Agree and Drift must be the same on all schedulers.
 type Config struct {
-	Self, Fleet int
-	Life        uint32   // random number of this run
-	Agree       float64  // ms that a permission is valid; it lasts no longer by any clock
-	Drift       float64  // maximum relative clock rate error, fast or slow
-	Classes     []string // classes in the platform's settings
-	First       *Doc     // document in force while no scheduler knows of any version
+	Self, Fleet    int
+	RunID          uint32   // random number of this run
+	PermissionTime float64  // ms that a permission is valid; it lasts no longer by any clock
+	Drift          float64  // maximum relative clock rate error, fast or slow
+	Classes        []string // classes in the platform's settings
+	InitialDoc     *Doc     // document in force while no scheduler knows of any version
 	// Check validates a proposed document against the platform's settings; nil accepts all.
 	Check func(*Doc) error
 	Seed  uint64
@@ -61,21 +61,21 @@
 }
 
 // Default returns the values of settings that the operator's file omits.
-func Default() Config { return Config{Agree: 3000, Drift: 0.01} }
+func Default() Config { return Config{PermissionTime: 3000, Drift: 0.01} }
 
 // CheckConfig returns an error that names the first invalid setting.
 func (c *Config) CheckConfig() error {
 	switch {
 	case c.Fleet < 1 || c.Self < 0 || c.Self >= c.Fleet:
 		return fmt.Errorf("rules: scheduler %d of %d is out of range", c.Self, c.Fleet)
-	case !(c.Agree >= 200 && c.Agree <= 60_000):
-		return fmt.Errorf("rules: agree_within is %gms; it must be 200ms to 1m", c.Agree)
+	case !(c.PermissionTime >= 200 && c.PermissionTime <= 60_000):
+		return fmt.Errorf("rules: agree_within is %gms; it must be 200ms to 1m", c.PermissionTime)
 	case !(c.Drift >= 0 && c.Drift <= 0.1):
 		return fmt.Errorf("rules: drift is %g; it must be 0 to 0.1", c.Drift)
-	case c.First == nil:
+	case c.InitialDoc == nil:
 		return fmt.Errorf("rules: no document is configured as the first version")
 	}
-	return c.First.Check()
+	return c.InitialDoc.Check()
 }
 
 // Version is a numbered document, or the intermediate of two documents. Numbers increase over the
@@ -193,9 +193,9 @@
 	if err := config.CheckConfig(); err != nil {
 		return nil, err
 	}
-	m := &Machine{config: config, rng: rand.New(rand.NewPCG(config.Seed, uint64(config.Self)<<32|uint64(config.Life))), docs: map[Digest]*Doc{}, packed: map[Digest][]byte{},
+	m := &Machine{config: config, rng: rand.New(rand.NewPCG(config.Seed, uint64(config.Self)<<32|uint64(config.RunID))), docs: map[Digest]*Doc{}, packed: map[Digest][]byte{},
 		nextRequestAt: now, strict: true, until: math.Inf(-1)}
-	if _, err := m.storeDoc(config.First); err != nil {
+	if _, err := m.storeDoc(config.InitialDoc); err != nil {
 		return nil, err
 	}
 	m.publisher.reset(config.Fleet, 0, now)
@@ -205,13 +205,13 @@
 // holdTime returns how long a permission lasts, in ms from its request. By the fastest clock this ends
 // before Agree ends by the slowest clock.
 func (m *Machine) holdTime() float64 {
-	return m.config.Agree * (1 - m.config.Drift) / (1 + m.config.Drift)
+	return m.config.PermissionTime * (1 - m.config.Drift) / (1 + m.config.Drift)
 }
 
 // InForce returns the document that this scheduler may act on at the given time. Call it at the moment
 // of acting, with a time read then.
 func (m *Machine) InForce(now float64) (v Version, d *Doc, strict bool) {
-	d = m.config.First
+	d = m.config.InitialDoc
 	if m.current.Number > 0 {
 		d = m.effective(m.current)
 	}
@@ -251,7 +251,7 @@
 		m.advance(now, ev)
 	}
 	if now >= m.nextRequestAt {
-		m.nextRequestAt = now + m.config.Agree/requestsPerLease*(0.9+0.2*m.rng.Float64())
+		m.nextRequestAt = now + m.config.PermissionTime/requestsPerLease*(0.9+0.2*m.rng.Float64())
 		m.sendRequest(now, ev)
 	}
 	m.requestPieces(now)
@@ -300,7 +300,7 @@
 func (m *Machine) sendRequest(now float64, ev *Event) {
 	m.seq++
 	m.requestedAt[m.seq%8] = now
-	msg := Msg{Kind: Request, RunID: m.config.Life, Seq: m.seq, Version: m.current, Valid: !m.strict, Doc: m.checked, Reason: m.checkError, Duty: ev.HolderNumber}
+	msg := Msg{Kind: Request, RunID: m.config.RunID, Seq: m.seq, Version: m.current, Valid: !m.strict, Doc: m.checked, Reason: m.checkError, Duty: ev.HolderNumber}
 	switch {
 	case m.duty > 0:
 		msg.Duty = m.duty
@@ -342,7 +342,7 @@
 
 // onGrant handles a permission to act on a version. The permission counts from its request.
 func (m *Machine) onGrant(now float64, from int, msg *Msg) {
-	if msg.RunID != m.config.Life || m.seq-msg.Seq >= 8 || msg.Version.Number < m.current.Number {
+	if msg.RunID != m.config.RunID || m.seq-msg.Seq >= 8 || msg.Version.Number < m.current.Number {
 		m.Counts.Stale++
 		return
 	}
@@ -559,7 +559,7 @@
 		m.emit(Action{Kind: Refused, Digest: d, Scheduler: m.config.Self, Reason: "the document is already in force"})
 		return
 	}
-	m.offered, m.offerUntil = d, now+proposalTimeoutLeases*m.config.Agree
+	m.offered, m.offerUntil = d, now+proposalTimeoutLeases*m.config.PermissionTime
 	m.nextRequestAt = now
 }
 
--- a/internal/fleet/rules/rules_test.go
+++ b/internal/fleet/rules/rules_test.go
@@ -26,7 +26,7 @@
 	p := &twoMachines{t: t, duty: 7}
 	for i := range p.machines {
 		c := Default()
-		c.Self, c.Fleet, c.Life, c.Classes, c.First, c.Agree = i, 2, uint32(i), []string{"view"}, attempts(3), 1000
+		c.Self, c.Fleet, c.RunID, c.Classes, c.InitialDoc, c.PermissionTime = i, 2, uint32(i), []string{"view"}, attempts(3), 1000
 		if i == 1 {
 			c.Check = func(*Doc) error { return p.checkError }
 		}
@@ -154,7 +154,7 @@
 	p.run(3000)
 	before, _, _ := p.machines[1].InForce(p.now)
 	c := p.machines[0].config
-	c.Life, c.First = 9, attempts(4)
+	c.RunID, c.InitialDoc = 9, attempts(4)
 	var err error
 	p.machines[0], err = New(c, p.now)
 	require.NoError(t, err)
@@ -266,13 +266,13 @@
 func TestInvalidSettings(t *testing.T) {
 	for want, change := range map[string]func(*Config){
 		"scheduler 5 of 5":       func(c *Config) { c.Self = 5 },
-		"agree_within is 100ms":  func(c *Config) { c.Agree = 100 },
+		"agree_within is 100ms":  func(c *Config) { c.PermissionTime = 100 },
 		"drift is 0.2":           func(c *Config) { c.Drift = 0.2 },
-		"no document":            func(c *Config) { c.First = nil },
-		"class.view.attempts is": func(c *Config) { c.First = attempts(0) },
+		"no document":            func(c *Config) { c.InitialDoc = nil },
+		"class.view.attempts is": func(c *Config) { c.InitialDoc = attempts(0) },
 	} {
 		c := Default()
-		c.Fleet, c.First = 5, attempts(1)
+		c.Fleet, c.InitialDoc = 5, attempts(1)
 		change(&c)
 		_, err := New(c, 0)
 		require.ErrorContains(t, err, want)
@@ -281,7 +281,7 @@
 
 func BenchmarkStep(b *testing.B) {
 	c := Default()
-	c.Fleet, c.First = 300, attempts(3)
+	c.Fleet, c.InitialDoc = 300, attempts(3)
 	m, err := New(c, 0)
 	require.NoError(b, err)
 	alive := func(int) bool { return true }
--- a/internal/fleet/simulation/rules.go
+++ b/internal/fleet/simulation/agreement.go
@@ -32,10 +32,10 @@
 // rulesConfig returns the configuration of the agreed settings for a process.
 func (w *World) rulesConfig(p *proc) *rules.Config {
 	c := rules.Default()
-	c.Self, c.Fleet, c.Life, c.Seed = p.number, p.knownSchedulers, w.rng.Uint32(), w.rng.Uint64()
-	c.Agree, c.Drift, c.Classes, c.Unsafe = w.options.Rules.Agree, max(w.options.Drift, 0.001), []string{"view", "buy"}, w.options.Rules.Unsafe
+	c.Self, c.Fleet, c.RunID, c.Seed = p.number, p.knownSchedulers, w.rng.Uint32(), w.rng.Uint64()
+	c.PermissionTime, c.Drift, c.Classes, c.Unsafe = w.options.Rules.Agree, max(w.options.Drift, 0.001), []string{"view", "buy"}, w.options.Rules.Unsafe
 	three := 3
-	c.First = &rules.Doc{Classes: map[string]rules.Class{"view": {Attempts: &three}}}
+	c.InitialDoc = &rules.Doc{Classes: map[string]rules.Class{"view": {Attempts: &three}}}
 	return &c
 }
 
@@ -101,7 +101,7 @@
 			delete(w.offeredAt, a.Version.A)
 		}
 		return
-	case fleet.Dropped:
+	case fleet.RulesRefused:
 		w.traceEvent("%.3f %d drops %x: %s", w.Now, p.number, a.Digest, a.Note)
 		result.Dropped++
 		return
--- a/internal/fleet/simulation/rules_test.go
+++ b/internal/fleet/simulation/agreement_test.go
@@ -10,7 +10,7 @@
 
 	"cottonwell/internal/faults"
 	"cottonwell/internal/fleet/rules"
-	"cottonwell/internal/rig"
+	"cottonwell/internal/logcheck"
 	"cottonwell/internal/units"
 )
 
@@ -98,7 +98,7 @@
 		"all killed":                           {n: 5, publish: 8, adopted: 1, script: faults.Script{{Kind: faults.Kill, At: 9 * s, Lasts: 500, From: firstN(5)}}},
 		"a rolling restart":                    {n: 5, publish: 8, adopted: 1, script: faults.Script{{Kind: faults.Term, At: 7 * s, Lasts: 100, From: []int{0}}, {Kind: faults.Term, At: 9 * s, Lasts: 100, From: []int{1}}, {Kind: faults.Term, At: 11 * s, Lasts: 100, From: []int{2}}, {Kind: faults.Term, At: 13 * s, Lasts: 100, From: []int{3}}, {Kind: faults.Term, At: 15 * s, Lasts: 100, From: []int{4}}}},
 		"datagrams late, duplicated, corrupted, out of order": {n: 9, publish: 6, adopted: 2, script: faults.Script{{Kind: faults.Jitter, Lasts: 20 * s, Size: 250}, {Kind: faults.Duplicate, Lasts: 20 * s, Share: 1, Size: 5 * s}, {Kind: faults.Corrupt, Lasts: 20 * s, Share: 0.2}}},
-		"wall clocks jump by 2 s":                             {n: 5, publish: 6, adopted: 2, script: faults.Script{{Kind: faults.Step, At: 8 * s, From: []int{0, 1}, Size: 2 * s}, {Kind: faults.Step, At: 12 * s, From: []int{2}, Size: 2 * s, Back: true}}},
+		"wall clocks jump by 2 s":                             {n: 5, publish: 6, adopted: 2, script: faults.Script{{Kind: faults.Step, At: 8 * s, From: []int{0, 1}, Size: 2 * s}, {Kind: faults.Step, At: 12 * s, From: []int{2}, Size: 2 * s, Backward: true}}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -139,7 +139,7 @@
 			}
 			schedulerSeconds := 30 * float64(n*runs)
 			t.Logf("%3d schedulers, %2.0f%% lost: %d adopted, p50 %.0f p99 %.0f ms; %.1f datagrams and %.0f bytes per second and scheduler, including members and leases",
-				n, 100*float64(loss), len(adoptionTimes), rig.Quantile(adoptionTimes, 0.5), rig.Quantile(adoptionTimes, 0.99), float64(datagrams)/schedulerSeconds, float64(bytes)/schedulerSeconds)
+				n, 100*float64(loss), len(adoptionTimes), logcheck.Quantile(adoptionTimes, 0.5), logcheck.Quantile(adoptionTimes, 0.99), float64(datagrams)/schedulerSeconds, float64(bytes)/schedulerSeconds)
 			if loss < 0.2 {
 				require.NotEmpty(t, adoptionTimes)
 			}
--- a/internal/fleet/simulation/simulation.go
+++ b/internal/fleet/simulation/simulation.go
@@ -89,7 +89,7 @@
 type World struct {
 	options Options
 	rng     *rand.Rand
-	network *faults.Net
+	network *faults.DatagramFaults
 	vtime.Queue
 	procs        []*proc
 	duties       []duty
@@ -120,7 +120,7 @@
 		return nil, err
 	}
 	rng := rand.New(rand.NewPCG(options.Seed, 0xd111))
-	w := &World{options: options, rng: rng, network: &faults.Net{Script: options.Script, Base: options.BaseDelay, Rng: rng}, dutyByName: map[string]int{},
+	w := &World{options: options, rng: rng, network: &faults.DatagramFaults{Script: options.Script, MeanDelay: options.BaseDelay, Rng: rng}, dutyByName: map[string]int{},
 		duties: make([]duty, options.Duties), trace: fnv.New64a()}
 	for i := range options.Duties {
 		w.dutyByName[options.dutyName(i)] = i
@@ -137,7 +137,7 @@
 	}
 	for i := range options.Script {
 		f := &options.Script[i]
-		if !f.Kind.OfWay() {
+		if !f.Kind.IsLinkFault() {
 			w.After(float64(f.At), func() { w.applyFault(f) })
 		}
 	}
@@ -166,7 +166,7 @@
 		c.Addresses = append(c.Addresses, fmt.Sprint("a", i))
 	}
 	c.Members.Self, c.Members.Fleet, c.Members.Seed = p.number, p.knownSchedulers, w.rng.Uint64()
-	c.Lease.Self, c.Lease.Fleet, c.Lease.Seed, c.Lease.Life = p.number, p.knownSchedulers, w.rng.Uint64(), w.rng.Uint32()
+	c.Lease.Self, c.Lease.Fleet, c.Lease.Seed, c.Lease.RunID = p.number, p.knownSchedulers, w.rng.Uint64(), w.rng.Uint32()
 	c.Lease.Voters, c.Lease.Drift, c.Lease.Unsafe = w.options.Voters, max(w.options.Drift, 0.001), w.options.Unsafe
 	if w.options.Lease > 0 {
 		c.Lease.Lease, c.Lease.Quiet = w.options.Lease, w.options.Lease*1.25
@@ -219,18 +219,18 @@
 func (w *World) handleAction(p *proc, a *fleet.Action) {
 	run := p.run
 	switch a.Kind {
-	case fleet.Tell:
+	case fleet.Send:
 		w.Result.Datagrams++
 		w.Result.Bytes += len(a.Raw)
 		if a.To < 0 || a.To >= len(w.procs) {
 			panic("simulation: datagram to an unknown scheduler")
 		}
 		to, from := w.procs[a.To], p.number
-		for _, d := range w.network.Pass(w.Now, from, a.To, a.Raw) {
+		for _, d := range w.network.Deliver(w.Now, from, a.To, a.Raw) {
 			w.After(d.After, func() {
 				if to.machine != nil {
 					run := to.run
-					w.runInProcess(to, run, func() { w.step(to, fleet.Event{Kind: fleet.Heard, From: from, Raw: d.Raw}) })
+					w.runInProcess(to, run, func() { w.step(to, fleet.Event{Kind: fleet.DatagramReceived, From: from, Raw: d.Raw}) })
 				}
 			})
 		}
@@ -253,15 +253,15 @@
 	case fleet.Lost:
 		w.traceEvent("%.3f %d lost %s %d %s", w.Now, p.number, a.Duty, a.Number, a.Note)
 		w.onLost(p, w.dutyByName[a.Duty], a.Note == "handed on")
-	case fleet.Took:
+	case fleet.ActAccepted:
 		x := w.dutyByName[a.Duty]
 		if a.Number < p.newestAccepted[x] {
 			w.Result.OldActsAccepted++
 		}
 		p.newestAccepted[x] = max(p.newestAccepted[x], a.Number)
-	case fleet.Refused:
+	case fleet.ActRefused:
 		w.Result.ActsRefused++
-	case fleet.Rule, fleet.Adopted, fleet.Dropped, fleet.Alarm:
+	case fleet.ApplyRules, fleet.Adopted, fleet.RulesRefused, fleet.Alarm:
 		w.onRulesAction(p, a)
 	case fleet.Changed:
 		w.traceEvent("%.3f %d says %d is %v", w.Now, p.number, a.To, a.State)
@@ -325,7 +325,7 @@
 	delete(p.openHoldings, d)
 	at := w.Now
 	if p.machine != nil && !w.options.Unsafe.NoExpiry {
-		at = min(at, (p.machine.Until(w.options.dutyName(d))-p.clockOffset)/p.clockRate)
+		at = min(at, (p.machine.HeldUntil(w.options.dutyName(d))-p.clockOffset)/p.clockRate)
 	}
 	h, x := &w.Result.Holdings[i], &w.duties[d]
 	h.To, h.HandedOver = max(at, h.From), handed
@@ -340,7 +340,7 @@
 		for d := range w.duties {
 			if number, ok := w.holdsNow(p, d); ok {
 				send := func() {
-					for _, x := range w.network.Pass(w.Now, p.number, (p.number+1)%len(w.procs), "act") {
+					for _, x := range w.network.Deliver(w.Now, p.number, (p.number+1)%len(w.procs), "act") {
 						w.After(x.After, func() { w.onAct(d, number) })
 					}
 				}
@@ -437,7 +437,7 @@
 				})
 			}
 		case faults.Step:
-			if by := float64(f.Size); f.Back {
+			if by := float64(f.Size); f.Backward {
 				p.wallOffset -= by
 			} else {
 				p.wallOffset += by
--- a/internal/fleet/simulation/simulation_test.go
+++ b/internal/fleet/simulation/simulation_test.go
@@ -15,7 +15,7 @@
 
 	"cottonwell/internal/faults"
 	"cottonwell/internal/fleet/lease"
-	"cottonwell/internal/rig"
+	"cottonwell/internal/logcheck"
 	"cottonwell/internal/units"
 )
 
@@ -173,7 +173,7 @@
 		"all restarted within a second":       {n: 5, gained: 2, script: faults.Script{{Kind: faults.Kill, At: 6 * s, Lasts: 200, From: []int{0, 1}}, {Kind: faults.Kill, At: 6*s + 300, Lasts: 200, From: []int{2, 3}}, {Kind: faults.Kill, At: 6*s + 700, Lasts: 200, From: []int{4}}}},
 		"seven in ten killed":                 {n: 30, gained: 1, script: faults.Script{{Kind: faults.Kill, At: 6 * s, Lasts: 2 * s, From: firstN(21)}}},
 		"voters restarted in turn":            {n: 5, gained: 1, script: faults.Script{{Kind: faults.Kill, At: 5 * s, Lasts: 50, From: []int{0}}, {Kind: faults.Kill, At: 5*s + 400, Lasts: 50, From: []int{1}}, {Kind: faults.Kill, At: 5*s + 800, Lasts: 50, From: []int{2}}, {Kind: faults.Kill, At: 6*s + 200, Lasts: 50, From: []int{3}}}},
-		"wall clocks jump by 2 s":             {n: 5, gained: 2, script: faults.Script{{Kind: faults.Step, At: 4 * s, From: firstN(5), Size: 2 * s}, {Kind: faults.Kill, At: 5 * s, Lasts: s, From: []int{0, 1, 2}}, {Kind: faults.Step, At: 8 * s, From: []int{0, 1, 2}, Size: 2 * s, Back: true}, {Kind: faults.Kill, At: 12 * s, Lasts: s, From: []int{2, 3, 4}}}},
+		"wall clocks jump by 2 s":             {n: 5, gained: 2, script: faults.Script{{Kind: faults.Step, At: 4 * s, From: firstN(5), Size: 2 * s}, {Kind: faults.Kill, At: 5 * s, Lasts: s, From: []int{0, 1, 2}}, {Kind: faults.Step, At: 8 * s, From: []int{0, 1, 2}, Size: 2 * s, Backward: true}, {Kind: faults.Kill, At: 12 * s, Lasts: s, From: []int{2, 3, 4}}}},
 		"datagrams 5 s late and duplicated":   {n: 5, gained: 1, script: faults.Script{{Kind: faults.Delay, At: 5 * s, Lasts: 2 * s, Size: 5 * s}, {Kind: faults.Duplicate, At: 0, Lasts: 20 * s, Share: 1, Size: 4 * s}}},
 		"datagrams out of order":              {n: 5, gained: 1, script: faults.Script{{Kind: faults.Jitter, At: 0, Lasts: 20 * s, Size: 300}}},
 		"half of the datagrams corrupted":     {n: 5, gained: 1, script: faults.Script{{Kind: faults.Corrupt, At: 2 * s, Lasts: 16 * s, Share: 0.5}}},
@@ -223,11 +223,11 @@
 		require.Zero(t, r.DoubleHolders+r.DecreasingNumbers+r.OldActsAccepted)
 		gaps, handoverGaps = append(gaps, r.Gaps...), append(handoverGaps, r.HandoverGaps...)
 	}
-	t.Logf("%d gaps: p50 %.0f p99 %.0f ms; %d handovers: p50 %.0f p99 %.0f ms", len(gaps), rig.Quantile(gaps, 0.5), rig.Quantile(gaps, 0.99), len(handoverGaps), rig.Quantile(handoverGaps, 0.5), rig.Quantile(handoverGaps, 0.99))
+	t.Logf("%d gaps: p50 %.0f p99 %.0f ms; %d handovers: p50 %.0f p99 %.0f ms", len(gaps), logcheck.Quantile(gaps, 0.5), logcheck.Quantile(gaps, 0.99), len(handoverGaps), logcheck.Quantile(handoverGaps, 0.5), logcheck.Quantile(handoverGaps, 0.99))
 	require.Greater(t, len(gaps), 60)
 	require.Greater(t, len(handoverGaps), 40)
-	require.Less(t, rig.Quantile(gaps, 0.99), 3000.0)
-	require.Less(t, rig.Quantile(handoverGaps, 0.99), 100.0)
+	require.Less(t, logcheck.Quantile(gaps, 0.99), 3000.0)
+	require.Less(t, logcheck.Quantile(handoverGaps, 0.99), 100.0)
 }
 
 // A holder is shut down while a fifth of the datagrams is lost and three other schedulers are paused,
@@ -249,9 +249,9 @@
 		require.Zero(t, r.DoubleHolders+r.DecreasingNumbers+r.OldActsAccepted, "seed %d", seed)
 		handoverGaps = append(handoverGaps, r.HandoverGaps...)
 	}
-	t.Logf("%d handovers: p50 %.0f p90 %.0f p99 %.0f ms", len(handoverGaps), rig.Quantile(handoverGaps, 0.5), rig.Quantile(handoverGaps, 0.9), rig.Quantile(handoverGaps, 0.99))
+	t.Logf("%d handovers: p50 %.0f p90 %.0f p99 %.0f ms", len(handoverGaps), logcheck.Quantile(handoverGaps, 0.5), logcheck.Quantile(handoverGaps, 0.9), logcheck.Quantile(handoverGaps, 0.99))
 	require.Greater(t, len(handoverGaps), 40)
-	require.Less(t, rig.Quantile(handoverGaps, 0.9), 1600.0)
+	require.Less(t, logcheck.Quantile(handoverGaps, 0.9), 1600.0)
 }
 
 // Over fleet sizes and loss rates, deaths are detected, live schedulers are not declared dead, and the
@@ -284,7 +284,7 @@
 			schedulerSeconds := float64(n) * length / 1000
 			rows = append(rows, row{n, loss, float64(r.Datagrams) / schedulerSeconds, float64(r.Bytes) / schedulerSeconds})
 			t.Logf("%4d schedulers, %2.0f%% lost: %d killed, detected %d times, p50 %.0f p99 %.0f ms; falsely declared dead %d; %.1f datagrams and %.0f bytes per second and scheduler",
-				n, 100*float64(loss), killed, len(r.DetectionTimes), rig.Quantile(r.DetectionTimes, 0.5), rig.Quantile(r.DetectionTimes, 0.99), r.FalseDeaths, float64(r.Datagrams)/schedulerSeconds, float64(r.Bytes)/schedulerSeconds)
+				n, 100*float64(loss), killed, len(r.DetectionTimes), logcheck.Quantile(r.DetectionTimes, 0.5), logcheck.Quantile(r.DetectionTimes, 0.99), r.FalseDeaths, float64(r.Datagrams)/schedulerSeconds, float64(r.Bytes)/schedulerSeconds)
 			require.GreaterOrEqual(t, len(r.DetectionTimes), killed*(n-killed), "each live scheduler detects each death")
 			if loss <= 0.1 {
 				require.Zero(t, r.FalseDeaths)
