--- a/internal/fleet/shares/msg.go
+++ b/internal/fleet/usage/msg.go
@@ -1,10 +1,10 @@
-package shares
+package usage
 
 import (
 	"encoding/binary"
 	"math"
 
-	"cottonwell/internal/fleet/frame"
+	"cottonwell/internal/fleet/datagram"
 )
 
 // MsgKind is the kind of a message.
@@ -34,7 +34,7 @@
 // Append encodes a message as a datagram and appends it to raw. digest is the hash of the
 // configuration that must be equal on both ends.
 func (msg *Msg) Append(raw []byte, digest uint32) []byte {
-	raw = append(frame.Begin(raw, Version, digest), byte(msg.Kind))
+	raw = append(datagram.Begin(raw, Version, digest), byte(msg.Kind))
 	raw = binary.LittleEndian.AppendUint32(raw, msg.TenantsKey)
 	raw = binary.LittleEndian.AppendUint64(raw, msg.Number)
 	raw = binary.LittleEndian.AppendUint32(raw, msg.Seq)
@@ -42,26 +42,26 @@
 	for _, f := range msg.Figures[:min(len(msg.Figures), MaxTenants)] {
 		raw = binary.LittleEndian.AppendUint32(raw, math.Float32bits(f))
 	}
-	return frame.Seal(raw)
+	return datagram.Seal(raw)
 }
 
 // Parse decodes a datagram and retains no reference to it. A figure that is negative, not a number or
 // too large makes the datagram invalid.
 func (msg *Msg) Parse(raw []byte, digest uint32) error {
-	body, err := frame.Open(raw, Version, digest)
+	body, err := datagram.Open(raw, Version, digest)
 	if err != nil {
 		return err
 	}
 	n := (len(body) - fixedSize) / 4
 	if len(body) <= fixedSize || len(body) != fixedSize+4*n || n > MaxTenants || body[0] < byte(Usage) || body[0] > byte(Parts) {
-		return frame.ErrInvalid
+		return datagram.ErrInvalid
 	}
 	*msg = Msg{Kind: MsgKind(body[0]), TenantsKey: binary.LittleEndian.Uint32(body[1:]), Number: binary.LittleEndian.Uint64(body[5:]), Seq: binary.LittleEndian.Uint32(body[13:]),
 		Lasts: 2 * float64(binary.LittleEndian.Uint16(body[17:])), Figures: msg.Figures[:0]}
 	for body = body[fixedSize:]; len(body) > 0; body = body[4:] {
 		f := math.Float32frombits(binary.LittleEndian.Uint32(body))
 		if !(f >= 0 && f < 1e9) {
-			return frame.ErrInvalid
+			return datagram.ErrInvalid
 		}
 		msg.Figures = append(msg.Figures, f)
 	}
--- a/internal/fleet/shares/shares.go
+++ b/internal/fleet/usage/usage.go
@@ -1,4 +1,4 @@
-// Package shares lets one scheduler, the usage aggregator, add up the requests of each tenant over the
+// Package usage lets one scheduler, the usage aggregator, add up the requests of each tenant over the
 // whole fleet, so that traffic beyond a tenant's share can be identified when capacity is short. Each
 // scheduler receives only a small part of the traffic, and no two receive the same part.
 //
@@ -10,7 +10,7 @@
 // I/O and rejects no requests itself. Each event carries the fencing number under which this scheduler
 // holds the duty, read at that moment. Messages of the usage aggregator carry this number, and a
 // receiver that knows a newer one refuses them. Times are in milliseconds.
-package shares
+package usage
 
 import (
 	"fmt"
@@ -43,14 +43,14 @@
 // Config configures a Machine. Tenants and times must be the same on all schedulers.
 type Config struct {
 	Self, Fleet int
-	Life        uint32 // random number of this run; separates its reports from those of an earlier run
+	RunID       uint32 // random number of this run; separates its reports from those of an earlier run
 	Tenants     []Tenant
-	Every       float64 // ms between two reports to the usage aggregator, and between two messages from it
-	Lasts       float64 // ms that its message is valid from receipt
+	Interval    float64 // ms between two reports to the usage aggregator, and between two messages from it
+	ValidFor    float64 // ms that its message is valid from receipt
 }
 
 // Default returns the values of settings that the operator's file omits.
-func Default() Config { return Config{Every: 500, Lasts: 3000} }
+func Default() Config { return Config{Interval: 500, ValidFor: 3000} }
 
 // Check returns an error that names the first invalid setting.
 func (c *Config) Check() error {
@@ -59,10 +59,10 @@
 		return fmt.Errorf("accountant: scheduler %d of %d is out of range", c.Self, c.Fleet)
 	case len(c.Tenants) == 0:
 		return fmt.Errorf("accountant: the settings name no tenants with shares")
-	case !(c.Every >= 50 && c.Every <= 10_000):
-		return fmt.Errorf("accountant: every is %gms; it must be 50ms to 10s", c.Every)
-	case !(c.Lasts >= (warmupRounds+1)*c.Every && c.Lasts <= 60_000):
-		return fmt.Errorf("accountant: lasts is %gms; it must be from four times every (%gms) to 1m, or a new usage aggregator would start too late", c.Lasts, c.Every)
+	case !(c.Interval >= 50 && c.Interval <= 10_000):
+		return fmt.Errorf("accountant: every is %gms; it must be 50ms to 10s", c.Interval)
+	case !(c.ValidFor >= (warmupRounds+1)*c.Interval && c.ValidFor <= 60_000):
+		return fmt.Errorf("accountant: lasts is %gms; it must be from four times every (%gms) to 1m, or a new usage aggregator would start too late", c.ValidFor, c.Interval)
 	}
 	seen := map[string]bool{}
 	for _, t := range c.Tenants {
@@ -100,20 +100,20 @@
 
 // The kinds of actions.
 const (
-	Send         ActionKind = iota // send Msg to scheduler To; -1: to all other live members; Msg is valid until the next Step
-	PartsChanged                   // under Number, Parts applies for Lasts ms
-	Wake                           // deliver Due at At; replaces an earlier wake-up
+	Send             ActionKind = iota // send Msg to scheduler To; -1: to all other live members; Msg is valid until the next Step
+	FractionsChanged                   // under Number, Parts applies for Lasts ms
+	Wake                               // deliver Due at At; replaces an earlier wake-up
 )
 
 // Action is one output of the Machine. The host carries out actions in order.
 type Action struct {
-	Kind   ActionKind
-	To     int
-	Msg    *Msg
-	Parts  map[string]float64 // by tenant: fraction of its requests that is within its share; tenants within their share are omitted
-	Number uint64
-	Lasts  float64
-	At     float64
+	Kind      ActionKind
+	To        int
+	Msg       *Msg
+	Fractions map[string]float64 // by tenant: fraction of its requests that is within its share; tenants within their share are omitted
+	Number    uint64
+	Lasts     float64
+	At        float64
 }
 
 // reporter is what the usage aggregator records about one scheduler.
@@ -169,7 +169,7 @@
 	n := len(config.Tenants)
 	m := &Machine{config: config, tenantsKey: h.Sum32(), countedAt: -1, requests: make([]uint64, n), rates: make([]float32, n), reporters: make([]reporter, config.Fleet), rateSums: make([]float64, n)}
 	// Reports are staggered, so that the usage aggregator does not receive all of them at once.
-	m.nextReportAt = now + config.Every*(float64(config.Self)+0.5)/float64(config.Fleet)
+	m.nextReportAt = now + config.Interval*(float64(config.Self)+0.5)/float64(config.Fleet)
 	for _, t := range config.Tenants {
 		m.initialAllowances = append(m.initialAllowances, t.Allowance)
 	}
@@ -190,14 +190,14 @@
 		m.receive(now, ev)
 	}
 	if now >= m.nextReportAt && ev.Requests != nil {
-		m.nextReportAt = max(m.nextReportAt+m.config.Every, now+m.config.Every/2)
+		m.nextReportAt = max(m.nextReportAt+m.config.Interval, now+m.config.Interval/2)
 		m.updateRates(now, ev.Requests)
 		switch {
 		case m.number > 0:
-			m.recordUsage(now, m.config.Self, m.config.Life, m.seq, m.rates)
+			m.recordUsage(now, m.config.Self, m.config.RunID, m.seq, m.rates)
 			m.sendParts(now)
 		case ev.Holder >= 0 && ev.Holder != m.config.Self:
-			m.emit(Action{Kind: Send, To: ev.Holder, Msg: &Msg{Kind: Usage, TenantsKey: m.tenantsKey, Number: uint64(m.config.Life), Seq: m.seq, Figures: m.rates}})
+			m.emit(Action{Kind: Send, To: ev.Holder, Msg: &Msg{Kind: Usage, TenantsKey: m.tenantsKey, Number: uint64(m.config.RunID), Seq: m.seq, Figures: m.rates}})
 		}
 	}
 	m.emit(Action{Kind: Wake, At: m.nextReportAt})
@@ -259,12 +259,12 @@
 // share. A scheduler whose last report is too old to count is dead or isolated, so its requests are
 // unknown here. Sums that are too small only delay the treatment of traffic beyond the shares.
 func (m *Machine) sendParts(now float64) {
-	warmingUp := now < m.since+warmupRounds*m.config.Every // not all schedulers have reported yet
+	warmingUp := now < m.since+warmupRounds*m.config.Interval // not all schedulers have reported yet
 	parts, overShare := make([]float32, len(m.config.Tenants)), false
 	for i, t := range m.config.Tenants {
 		sum := 0.0
 		for k := range m.reporters {
-			if reporter := &m.reporters[k]; now-reporter.receivedAt <= maxAgeRounds*m.config.Every {
+			if reporter := &m.reporters[k]; now-reporter.receivedAt <= maxAgeRounds*m.config.Interval {
 				sum += float64(reporter.rates[i])
 			}
 		}
@@ -287,7 +287,7 @@
 		return
 	}
 	m.partsSeq++
-	msg := &Msg{Kind: Parts, TenantsKey: m.tenantsKey, Number: m.number, Seq: m.partsSeq, Lasts: m.config.Lasts, Figures: parts}
+	msg := &Msg{Kind: Parts, TenantsKey: m.tenantsKey, Number: m.number, Seq: m.partsSeq, Lasts: m.config.ValidFor, Figures: parts}
 	m.emit(Action{Kind: Send, To: -1, Msg: msg})
 	m.applyParts(msg, 0)
 }
@@ -305,5 +305,5 @@
 			parts[t.Name] = float64(msg.Figures[i])
 		}
 	}
-	m.emit(Action{Kind: PartsChanged, Parts: parts, Number: msg.Number, Lasts: msg.Lasts})
+	m.emit(Action{Kind: FractionsChanged, Fractions: parts, Number: msg.Number, Lasts: msg.Lasts})
 }
--- a/internal/fleet/shares/shares_test.go
+++ b/internal/fleet/usage/usage_test.go
@@ -1,4 +1,4 @@
-package shares
+package usage
 
 import (
 	"fmt"
@@ -18,7 +18,7 @@
 // schedulers with lower numbers receive more of them.
 type testFleet struct {
 	vtime.Queue
-	network     *faults.Net
+	network     *faults.DatagramFaults
 	machines    []*Machine
 	dead        []bool
 	wakes       []float64
@@ -35,7 +35,7 @@
 }
 
 func newTestFleet(t require.TestingT, n int, script faults.Script, seed uint64) *testFleet {
-	x := &testFleet{network: &faults.Net{Script: script, Base: 5, Rng: rand.New(rand.NewPCG(seed, 1))}, number: 10, staleHolder: -1, rate: [2]float64{800, 300}}
+	x := &testFleet{network: &faults.DatagramFaults{Script: script, MeanDelay: 5, Rng: rand.New(rand.NewPCG(seed, 1))}, number: 10, staleHolder: -1, rate: [2]float64{800, 300}}
 	for i := range n {
 		x.machines, x.wakes, x.countedAt, x.requests = append(x.machines, nil), append(x.wakes, math.Inf(1)), append(x.countedAt, 0), append(x.requests, make([]float64, 2))
 		x.parts, x.partsUntil, x.dead = append(x.parts, nil), append(x.partsUntil, 0), append(x.dead, false)
@@ -46,7 +46,7 @@
 
 func (x *testFleet) startMachine(t require.TestingT, i int, runID uint32) {
 	c := Default()
-	c.Self, c.Fleet, c.Life = i, 60, runID
+	c.Self, c.Fleet, c.RunID = i, 60, runID
 	c.Tenants = []Tenant{{"a", 500}, {"b", 500}}
 	m, err := New(c, x.Now)
 	require.NoError(t, err)
@@ -82,7 +82,7 @@
 					continue
 				}
 				x.sends++
-				for _, d := range x.network.Pass(x.Now, i, to, raw) {
+				for _, d := range x.network.Deliver(x.Now, i, to, raw) {
 					x.After(d.After, func() {
 						var msg Msg
 						if msg.Parse([]byte(d.Raw), 7) == nil {
@@ -91,8 +91,8 @@
 					})
 				}
 			}
-		case PartsChanged:
-			x.parts[i], x.partsUntil[i] = a.Parts, x.Now+a.Lasts
+		case FractionsChanged:
+			x.parts[i], x.partsUntil[i] = a.Fractions, x.Now+a.Lasts
 		case Wake:
 			if a.At == x.wakes[i] {
 				continue
@@ -159,7 +159,7 @@
 		}
 	}
 	x.holder = -1
-	x.run(Default().Lasts + 600)
+	x.run(Default().ValidFor + 600)
 	require.Zero(t, x.countParts("a", 0.5, 0.6), "no fraction applies while no scheduler holds the duty")
 }
 
@@ -246,9 +246,9 @@
 	for want, change := range map[string]func(*Config){
 		"scheduler 5 of 5":                func(c *Config) { c.Self = 5 },
 		"no tenants with shares":          func(c *Config) { c.Tenants = nil },
-		"every is 1ms":                    func(c *Config) { c.Every = 1 },
-		"lasts is 1900ms":                 func(c *Config) { c.Lasts = 1900 },
-		"lasts is NaNms":                  func(c *Config) { c.Lasts = math.NaN() },
+		"every is 1ms":                    func(c *Config) { c.Interval = 1 },
+		"lasts is 1900ms":                 func(c *Config) { c.ValidFor = 1900 },
+		"lasts is NaNms":                  func(c *Config) { c.ValidFor = math.NaN() },
 		"allowance of 0 requests":         func(c *Config) { c.Tenants[0].Allowance = 0 },
 		"tenant \"b\" has no unique name": func(c *Config) { c.Tenants[0].Name = "b" },
 	} {
--- a/internal/gearman/clients.go
+++ b/internal/gearman/clients.go
@@ -82,15 +82,15 @@
 	}
 	body, err := s.pool.FromBytes([]byte(workload))
 	if err != nil {
-		s.finish(j, core.Answer{Kind: core.Failed})
+		s.finish(j, core.Response{Kind: core.Failed})
 		return nil
 	}
-	request := &core.Request{ID: j.id, Class: function.Class, Tenant: function.Tenant, Subject: unique, Patience: function.DeadlineMS, Slots: function.Slots, First: true, From: j,
+	request := &core.Request{ID: j.id, Class: function.Class, Tenant: function.Tenant, Subject: unique, ClientTimeoutMS: function.DeadlineMS, Slots: function.Slots, FirstTry: true, Receiver: j,
 		Job: core.Job{Method: "POST", Path: function.Path, Type: "application/octet-stream", Body: body, Priority: priority, Function: name, Unique: unique}}
 	if function.Keyed {
 		request.Job.Key = unique
 	}
-	ticket := s.core.TakeIn(request)
+	ticket := s.core.Accept(request)
 	s.mu.Lock()
 	j.ticket = ticket
 	close(j.submitted)
@@ -101,11 +101,11 @@
 // truncate limits text from the other side to 64 bytes, for error texts.
 func truncate(s string) string { return s[:min(len(s), 64)] }
 
-// Answer implements core.Listener.
-func (j *job) Answer(answer core.Answer) { j.server.finish(j, answer) }
+// Respond implements core.Listener.
+func (j *job) Respond(answer core.Response) { j.server.finish(j, answer) }
 
 // finish removes a job and sends each waiting client its one final packet.
-func (s *Server) finish(j *job, answer core.Answer) {
+func (s *Server) finish(j *job, answer core.Response) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if j.finished {
@@ -202,6 +202,6 @@
 	s.mu.Unlock()
 	for _, j := range abandoned {
 		<-j.submitted
-		j.ticket.Left()
+		j.ticket.ClientLeft()
 	}
 }
--- a/internal/gearman/server.go
+++ b/internal/gearman/server.go
@@ -44,14 +44,14 @@
 }
 
 // Source is the name of this front as a source of targets at the core.
-const Source = "gearman"
+const SourceName = "gearman"
 
 // Scheduler is the part of the core that this front uses.
 type Scheduler interface {
-	TakeIn(*core.Request) core.Ticket
-	Ended(core.Outcome)
-	News(core.TargetNews)
-	List(from string, g core.Group)
+	Accept(*core.Request) core.Ticket
+	AttemptEnded(core.Outcome)
+	ReceiveCallback(core.TargetCallback)
+	UpdateTargets(from string, g core.TargetList)
 	ProbeEnded(core.ProbeResult)
 }
 
@@ -145,19 +145,19 @@
 		}
 	})()
 	for {
-		if !s.sockets.Take(ctx.Done()) {
+		if !s.sockets.Acquire(ctx.Done()) {
 			return nil
 		}
 		netConn, err := ln.Accept()
 		if err != nil {
-			s.sockets.Give()
+			s.sockets.Release()
 			if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
 				return nil
 			}
 			return fmt.Errorf("gearman: accept: %w", err)
 		}
 		connections.Go(func() {
-			defer s.sockets.Give()
+			defer s.sockets.Release()
 			s.serveConn(ctx, netConn)
 		})
 	}
@@ -192,9 +192,9 @@
 	s.clientDisconnected(c)
 }
 
-// Wind begins a graceful shutdown: the server rejects further jobs, finishes the accepted ones
+// StartShutdown begins a graceful shutdown: the server rejects further jobs, finishes the accepted ones
 // and keeps its workers connected.
-func (s *Server) Wind() {
+func (s *Server) StartShutdown() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closing = true
--- a/internal/gearman/workers.go
+++ b/internal/gearman/workers.go
@@ -82,7 +82,7 @@
 	w.functions[name] = true
 	update := w.groupUpdate(s)
 	s.mu.Unlock()
-	s.core.List(Source, update)
+	s.core.UpdateTargets(SourceName, update)
 	return nil
 }
 
@@ -110,15 +110,15 @@
 	})
 	update := w.groupUpdate(s)
 	s.mu.Unlock()
-	s.core.List(Source, update)
+	s.core.UpdateTargets(SourceName, update)
 	for _, a := range withdrawn {
-		s.endAttempt(a, w, httpio.NotBegun, "")
+		s.endAttempt(a, w, httpio.NotStarted, "")
 	}
 }
 
 // groupUpdate returns a change of the core's target list with the current state of w. The
 // caller holds the server's mu.
-func (w *worker) groupUpdate(s *Server) core.Group {
+func (w *worker) groupUpdate(s *Server) core.TargetList {
 	member := balance.Member{ID: w.targetID(), Zone: w.Zone, Kind: w.Kind, Cell: w.Pod, State: balance.Ready, Weight: 1}
 	for name := range w.functions {
 		if f := s.function(name); f != nil && !strings.Contains(member.Classes, ","+f.Class+",") {
@@ -131,7 +131,7 @@
 	case len(w.functions) == 0:
 		member.State = balance.Draining
 	}
-	return core.Group{Scope: balance.Changes, Targets: []core.Target{{Member: member, StartedMS: w.connectedMS}}}
+	return core.TargetList{Scope: balance.Changes, Targets: []core.Target{{Member: member, StartedMS: w.connectedMS}}}
 }
 
 // canRun reports whether w can run the job of a.
@@ -155,7 +155,7 @@
 }
 
 // Listed implements core.Transport. It does nothing, since this front announces its own targets.
-func (s *Server) Listed(core.Group) {}
+func (s *Server) Listed(core.TargetList) {}
 
 // Probe implements core.Transport. The protocol has no probe of a worker, so the result is
 // derived from the server's own state.
@@ -208,7 +208,7 @@
 	}
 	s.mu.Unlock()
 	if !accepted {
-		go s.endAttempt(added, nil, httpio.NotBegun, "")
+		go s.endAttempt(added, nil, httpio.NotStarted, "")
 	}
 }
 
@@ -218,24 +218,24 @@
 	s.mu.Lock()
 	w := s.workerByTarget(a.Target)
 	var ended *attempt
-	exchange := httpio.GivenUp
+	exchange := httpio.Cancelled
 	if w != nil {
-		if i := slices.IndexFunc(w.queued, func(x *attempt) bool { return x.Ref == a.Ref }); i >= 0 {
-			ended, exchange = w.queued[i], httpio.NotBegun
+		if i := slices.IndexFunc(w.queued, func(x *attempt) bool { return x.AttemptRef == a.AttemptRef }); i >= 0 {
+			ended, exchange = w.queued[i], httpio.NotStarted
 			w.queued = slices.Delete(w.queued, i, i+1)
 		}
 		for _, x := range w.assigned {
-			if x.Ref == a.Ref && !a.Unsent {
+			if x.AttemptRef == a.AttemptRef && !a.OnlyIfUnsent {
 				x.cancelled = true // it stays assigned, since the worker is still busy with it
 			}
 		}
 	}
 	s.mu.Unlock()
-	if ended == nil && a.Unsent {
+	if ended == nil && a.OnlyIfUnsent {
 		return
 	}
 	if ended == nil {
-		ended = &attempt{Attempt: core.Attempt{Ref: a.Ref}}
+		ended = &attempt{Attempt: core.Attempt{AttemptRef: a.AttemptRef}}
 	}
 	go s.endAttempt(ended, nil, exchange, "")
 }
@@ -247,13 +247,13 @@
 		a.Job.Body.Release()
 	}
 	result, _ := httpio.Outcome(exchange)
-	outcome := core.Outcome{Ref: a.Ref, Result: result, Body: body}
+	outcome := core.Outcome{AttemptRef: a.AttemptRef, Result: result, Body: body}
 	if w != nil {
 		s.mu.Lock()
 		outcome.Report = w.report()
 		s.mu.Unlock()
 	}
-	s.core.Ended(outcome)
+	s.core.AttemptEnded(outcome)
 }
 
 // preSleep marks a worker as asleep, or wakes it at once if jobs are queued for it.
@@ -284,7 +284,7 @@
 	w.asleep = false
 	a := w.queued[0]
 	w.queued = w.queued[1:]
-	handle := fmt.Sprintf("H:%s:%d.%d", s.name, a.Flow, a.N)
+	handle := fmt.Sprintf("H:%s:%d.%d", s.name, a.Flow, a.Index)
 	w.assigned[handle] = a
 	var workload []byte
 	if a.Job.Body != nil {
@@ -309,7 +309,7 @@
 		active := !a.cancelled
 		s.mu.Unlock()
 		if active {
-			s.core.News(core.TargetNews{ID: a.ID, From: a.Target, Progress: &core.Progress{Started: true}})
+			s.core.ReceiveCallback(core.TargetCallback{ID: a.ID, From: a.Target, Progress: &core.Progress{Started: true}})
 		}
 	}})
 }
@@ -361,7 +361,7 @@
 	} else {
 		progress.Data = p.Args[1]
 	}
-	s.core.News(core.TargetNews{ID: a.ID, From: a.Target, Progress: &progress})
+	s.core.ReceiveCallback(core.TargetCallback{ID: a.ID, From: a.Target, Progress: &progress})
 }
 
 // workerDisconnected removes the worker of a closed connection and ends all its attempts. A job
@@ -382,7 +382,7 @@
 	clear(w.assigned)
 	update := w.groupUpdate(s)
 	s.mu.Unlock()
-	s.core.List(Source, update) // before the outcomes, so that the core sends no retry to this worker
+	s.core.UpdateTargets(SourceName, update) // before the outcomes, so that the core sends no retry to this worker
 	for _, a := range queued {
 		s.endAttempt(a, nil, httpio.BrokenBefore, "")
 	}
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -97,19 +97,19 @@
 	LongNames bool
 	// First and Last are the range of names for which Loads is complete, if LongNames is set and Changes
 	// is not.
-	First, Last Name
-	Loads       []Load
-	Holds       []Reservation
+	First, Last  Name
+	Loads        []Load
+	Reservations []Reservation
 }
 
 // ErrForm is returned for a datagram that is malformed or has an unknown version.
-var ErrForm = errors.New("gossip: malformed datagram or unknown version")
+var ErrFormat = errors.New("gossip: malformed datagram or unknown version")
 
 // FitsShortNames reports whether a message fits into one datagram of version 1 or 2.
 func (m *Message) FitsShortNames() bool {
 	space := MaxSize - 1
-	if len(m.Holds) > 0 {
-		space -= groupSize * (1 + 2*min(len(m.Holds), MaxReservations))
+	if len(m.Reservations) > 0 {
+		space -= groupSize * (1 + 2*min(len(m.Reservations), MaxReservations))
 	}
 	return len(m.Loads) <= space/groupSize
 }
@@ -118,7 +118,7 @@
 // precedence over loads, and the rest of either is omitted. Use AppendRange for a message that
 // does not fit.
 func AppendFull(raw []byte, m *Message) []byte {
-	reservations := m.Holds[:min(len(m.Holds), MaxReservations)]
+	reservations := m.Reservations[:min(len(m.Reservations), MaxReservations)]
 	space := MaxSize - 1
 	if len(reservations) > 0 {
 		space -= groupSize * (1 + 2*len(reservations))
@@ -151,7 +151,7 @@
 // the order of their names, with none before first. The datagram is complete for the names from first
 // up to, but not including, next.
 func AppendRange(raw []byte, m *Message, first Name) (out []byte, written int, next Name) {
-	reservations := m.Holds[:min(len(m.Holds), MaxReservations)]
+	reservations := m.Reservations[:min(len(m.Reservations), MaxReservations)]
 	written = min(len(m.Loads), (MaxSize-rangeHeaderSize-rangeReservationSize*len(reservations))/rangeLoadSize)
 	last := MaxName
 	switch {
@@ -192,12 +192,12 @@
 
 // Parse decodes a datagram into m and reuses its slices.
 func Parse(raw string, m *Message) error {
-	*m = Message{Loads: m.Loads[:0], Holds: m.Holds[:0]}
+	*m = Message{Loads: m.Loads[:0], Reservations: m.Reservations[:0]}
 	if len(raw) > 0 && raw[0] == versionRange {
 		return m.parseRange(raw)
 	}
 	if len(raw)%groupSize != 1 || len(raw) > MaxSize || raw[0] != versionFull && raw[0] != versionChanges {
-		return ErrForm
+		return ErrFormat
 	}
 	m.Changes = raw[0] == versionChanges
 	pos := 1
@@ -213,15 +213,15 @@
 	// One invalid byte makes all reservations invalid. The loads before them are still valid.
 	rest := raw[pos:]
 	if rest[0] != 0 || rest[1] != 0 || (len(rest)-groupSize)%(2*groupSize) != 0 || (len(rest)-groupSize)/(2*groupSize) > MaxReservations {
-		return ErrForm
+		return ErrFormat
 	}
 	for rest = rest[groupSize:]; len(rest) > 0; rest = rest[2*groupSize:] {
 		r := Reservation{Target: decodeShortName(rest), Slots: float64(rest[3]), From: timeUnit * float64(rest[4])}
 		if rest[2] == 0 || rest[3] == 0 || rest[5] != 0 || rest[3] > rest[2] {
-			m.Holds = m.Holds[:0]
-			return ErrForm
+			m.Reservations = m.Reservations[:0]
+			return ErrFormat
 		}
-		m.Holds = append(m.Holds, r)
+		m.Reservations = append(m.Reservations, r)
 	}
 	return nil
 }
@@ -229,12 +229,12 @@
 // parseRange decodes a datagram of version 3. It rejects the whole datagram if any part is invalid.
 func (m *Message) parseRange(raw string) error {
 	if len(raw) < rangeHeaderSize || len(raw) > MaxSize {
-		return ErrForm
+		return ErrFormat
 	}
 	loads, rest := int(raw[1]), raw[rangeHeaderSize:]
 	reservationBytes := len(rest) - rangeLoadSize*loads
 	if reservationBytes < 0 || reservationBytes%rangeReservationSize != 0 || reservationBytes > rangeReservationSize*MaxReservations {
-		return ErrForm
+		return ErrFormat
 	}
 	m.LongNames, m.First, m.Last = true, decodeName(raw[2:]), decodeName(raw[6:])
 	m.Changes = m.First > m.Last
@@ -242,16 +242,16 @@
 		l := Load{decodeName(rest), float64(rest[4])}
 		if !m.Changes && (l.Slots == 0 || l.Target < m.First || l.Target > m.Last) {
 			m.Loads = m.Loads[:0]
-			return ErrForm
+			return ErrFormat
 		}
 		m.Loads, rest = append(m.Loads, l), rest[rangeLoadSize:]
 	}
 	for ; len(rest) > 0; rest = rest[rangeReservationSize:] {
 		if rest[4] == 0 {
-			m.Loads, m.Holds = m.Loads[:0], m.Holds[:0]
-			return ErrForm
+			m.Loads, m.Reservations = m.Loads[:0], m.Reservations[:0]
+			return ErrFormat
 		}
-		m.Holds = append(m.Holds, Reservation{Target: decodeName(rest), Slots: float64(rest[4]), From: timeUnit * float64(rest[5])})
+		m.Reservations = append(m.Reservations, Reservation{Target: decodeName(rest), Slots: float64(rest[4]), From: timeUnit * float64(rest[5])})
 	}
 	return nil
 }
--- a/internal/gossip/lists.go
+++ b/internal/gossip/lists.go
@@ -51,40 +51,40 @@
 	return h.Sum64()
 }
 
-// ListQuestion requests from another scheduler a newer list of the serving targets, as reported by discovery.
-type ListQuestion struct {
+// ListRequest requests from another scheduler a newer list of the serving targets, as reported by discovery.
+type ListRequest struct {
 	Process uint32  // random number of the requesting process; a later process of the same name has another
-	AskedAt uint64  // when it was sent, in µs on the requester's clock; only the requester uses it
+	SentAt  uint64  // when it was sent, in µs on the requester's clock; only the requester uses it
 	Age     float64 // ms since the requester's own last report of discovery, rounded up
 	Digest  uint64  // of the serving targets in the requester's list
 }
 
-// ListAnswer is another scheduler's latest report of discovery about the serving targets.
-type ListAnswer struct {
-	Process uint32  // of the request
-	AskedAt uint64  // of the request
-	Age     float64 // ms since the report of discovery
-	Except  bool    // all targets of Digest serve except Keys; otherwise Keys serve, and the others are unknown
-	Digest  uint64  // of the request
-	Keys    []Key   // at most MaxKeys
+// ListResponse is another scheduler's latest report of discovery about the serving targets.
+type ListResponse struct {
+	Process       uint32  // of the request
+	RequestSentAt uint64  // of the request
+	Age           float64 // ms since the report of discovery
+	Except        bool    // all targets of Digest serve except Keys; otherwise Keys serve, and the others are unknown
+	Digest        uint64  // of the request
+	Keys          []Key   // at most MaxKeys
 }
 
-// IsAboutLists reports whether a datagram is a request or a response about lists.
-func IsAboutLists(raw string) bool {
+// IsListMessage reports whether a datagram is a request or a response about lists.
+func IsListMessage(raw string) bool {
 	return len(raw) > 0 && raw[0] >= versionListQuestion && raw[0] <= versionListOnly
 }
 
 // Append appends the encoded request to raw.
-func (q *ListQuestion) Append(raw []byte) []byte {
-	return appendListHeader(raw, versionListQuestion, q.Process, q.AskedAt, q.Age, q.Digest)
+func (q *ListRequest) Append(raw []byte) []byte {
+	return appendListHeader(raw, versionListQuestion, q.Process, q.SentAt, q.Age, q.Digest)
 }
 
 // Append appends the encoded response to raw.
-func (a *ListAnswer) Append(raw []byte) []byte {
+func (a *ListResponse) Append(raw []byte) []byte {
 	if a.Except {
-		raw = appendListHeader(raw, versionListExcept, a.Process, a.AskedAt, a.Age, a.Digest)
+		raw = appendListHeader(raw, versionListExcept, a.Process, a.RequestSentAt, a.Age, a.Digest)
 	} else {
-		raw = appendListHeader(raw, versionListOnly, a.Process, a.AskedAt, a.Age, 0)
+		raw = appendListHeader(raw, versionListOnly, a.Process, a.RequestSentAt, a.Age, 0)
 	}
 	for _, k := range a.Keys {
 		raw = binary.LittleEndian.AppendUint64(raw, uint64(k))
@@ -101,22 +101,22 @@
 
 // ParseList decodes a request or a response and returns nil for the other. It returns ErrForm for
 // anything else.
-func ParseList(raw string) (*ListQuestion, *ListAnswer, error) {
+func ParseList(raw string) (*ListRequest, *ListResponse, error) {
 	if len(raw) < listHeaderSize || len(raw) > MaxSize || (len(raw)-listHeaderSize)%keySize != 0 {
-		return nil, nil, ErrForm
+		return nil, nil, ErrFormat
 	}
 	b := []byte(raw)
 	process, askedAt := binary.LittleEndian.Uint32(b[1:]), binary.LittleEndian.Uint64(b[5:])
 	age, digest := float64(binary.LittleEndian.Uint16(b[13:])), binary.LittleEndian.Uint64(b[15:])
 	switch {
 	case raw[0] == versionListQuestion && len(raw) == listHeaderSize:
-		return &ListQuestion{process, askedAt, age, digest}, nil, nil
+		return &ListRequest{process, askedAt, age, digest}, nil, nil
 	case raw[0] == versionListExcept, raw[0] == versionListOnly:
-		a := &ListAnswer{Process: process, AskedAt: askedAt, Age: age, Except: raw[0] == versionListExcept, Digest: digest}
+		a := &ListResponse{Process: process, RequestSentAt: askedAt, Age: age, Except: raw[0] == versionListExcept, Digest: digest}
 		for b = b[listHeaderSize:]; len(b) > 0; b = b[keySize:] {
 			a.Keys = append(a.Keys, Key(binary.LittleEndian.Uint64(b)))
 		}
 		return nil, a, nil
 	}
-	return nil, nil, ErrForm
+	return nil, nil, ErrFormat
 }
--- a/internal/gossip/lists_test.go
+++ b/internal/gossip/lists_test.go
@@ -7,9 +7,9 @@
 )
 
 func TestListMessages(t *testing.T) {
-	q := ListQuestion{Process: 7, AskedAt: 1_700_000_000_000_001, Age: 1234, Digest: 5}
+	q := ListRequest{Process: 7, SentAt: 1_700_000_000_000_001, Age: 1234, Digest: 5}
 	raw := string(q.Append(nil))
-	require.True(t, IsAboutLists(raw))
+	require.True(t, IsListMessage(raw))
 	got, answer, err := ParseList(raw)
 	require.NoError(t, err)
 	require.Nil(t, answer)
@@ -18,14 +18,14 @@
 	for i := range keys {
 		keys[i] = Key(1) << i
 	}
-	for _, a := range []ListAnswer{
-		{Process: 7, AskedAt: 9, Age: 1, Except: true, Digest: 5},
-		{Process: 7, AskedAt: 9, Age: 1, Except: true, Digest: 5, Keys: keys},
-		{Process: 7, AskedAt: 9, Age: 1, Keys: keys[:1]},
+	for _, a := range []ListResponse{
+		{Process: 7, RequestSentAt: 9, Age: 1, Except: true, Digest: 5},
+		{Process: 7, RequestSentAt: 9, Age: 1, Except: true, Digest: 5, Keys: keys},
+		{Process: 7, RequestSentAt: 9, Age: 1, Keys: keys[:1]},
 	} {
 		raw := string(a.Append(nil))
 		require.LessOrEqual(t, len(raw), MaxSize)
-		require.True(t, IsAboutLists(raw))
+		require.True(t, IsListMessage(raw))
 		_, got, err := ParseList(raw)
 		require.NoError(t, err)
 		require.Equal(t, &a, got)
@@ -35,7 +35,7 @@
 // Ages are rounded up, so that no list appears newer than it is, and limited to what can be encoded.
 func TestAgesAreRoundedUp(t *testing.T) {
 	for age, encoded := range map[float64]float64{0.1: 1, 5: 5, 5.001: 6, 1e9: MaxAge, -3: 0} {
-		q := ListQuestion{Age: age}
+		q := ListRequest{Age: age}
 		got, _, err := ParseList(string(q.Append(nil)))
 		require.NoError(t, err)
 		require.Equal(t, encoded, got.Age)
@@ -52,19 +52,19 @@
 
 // Malformed datagrams are rejected, and datagrams about loads and about lists are not confused.
 func TestMalformedListMessages(t *testing.T) {
-	q := ListQuestion{Process: 7}
+	q := ListRequest{Process: 7}
 	raw := string(q.Append(nil))
 	for _, wrong := range []string{"", raw[:22], raw + "x", raw + "12345678", "\x01" + raw[1:], string(make([]byte, MaxSize+1))} {
 		_, _, err := ParseList(wrong)
-		require.ErrorIs(t, err, ErrForm)
+		require.ErrorIs(t, err, ErrFormat)
 	}
 	var m Message
-	require.ErrorIs(t, Parse(raw, &m), ErrForm)
-	require.False(t, IsAboutLists(string(AppendFull(nil, &Message{}))))
+	require.ErrorIs(t, Parse(raw, &m), ErrFormat)
+	require.False(t, IsListMessage(string(AppendFull(nil, &Message{}))))
 }
 
 func FuzzParseList(f *testing.F) {
-	q, a := ListQuestion{Process: 7}, ListAnswer{Keys: []Key{1}}
+	q, a := ListRequest{Process: 7}, ListResponse{Keys: []Key{1}}
 	f.Add(string(q.Append(nil)))
 	f.Add(string(a.Append(nil)))
 	f.Fuzz(func(t *testing.T, raw string) {
--- a/internal/freshness/freshness.go
+++ b/internal/listlease/lease.go
@@ -1,4 +1,4 @@
-// Package freshness limits how long a scheduler uses a list of targets that discovery no longer confirms.
+// Package listlease limits how long a scheduler uses a list of targets that discovery no longer confirms.
 //
 // Lease is the lease on the list. The caller passes it the lists and changes of discovery, the heartbeats of the watch, the
 // end of the watch and the results of probes. Lease returns which targets may be sent to, and until when. Only discovery
@@ -11,7 +11,7 @@
 //
 // Lease and Peers are state machines without I/O, clock or goroutine, and not safe for concurrent use. The package does not
 // poll discovery and does not probe targets. Times are milliseconds on the caller's clock, and durations are milliseconds.
-package freshness
+package listlease
 
 import (
 	"fmt"
@@ -162,7 +162,7 @@
 
 // ConfirmByPeer applies a confirmation by discovery that another scheduler forwarded. The confirmation was valid at
 // confirmedAt or later. One that is older than the own confirmation has no effect.
-func (l *Lease) ConfirmByPeer(now, confirmedAt float64, a *gossip.ListAnswer) (changed bool) {
+func (l *Lease) ConfirmByPeer(now, confirmedAt float64, a *gossip.ListResponse) (changed bool) {
 	switch {
 	case !a.Except:
 		for _, k := range a.Keys {
--- a/internal/freshness/freshness_test.go
+++ b/internal/listlease/lease_test.go
@@ -1,4 +1,4 @@
-package freshness
+package listlease
 
 import (
 	"fmt"
--- a/internal/freshness/outage_test.go
+++ b/internal/listlease/outage_test.go
@@ -1,4 +1,4 @@
-package freshness_test
+package listlease_test
 
 import (
 	"math"
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 
 	"cottonwell/balance"
-	"cottonwell/internal/freshness"
+	"cottonwell/internal/listlease"
 	"cottonwell/internal/vtime"
 )
 
@@ -38,8 +38,8 @@
 type scheduler struct {
 	number           int
 	module           *balance.Balancer
-	lease            *freshness.Lease
-	peers            *freshness.Peers // nil if schedulers exchange no messages
+	lease            *listlease.Lease
+	peers            *listlease.Peers // nil if schedulers exchange no messages
 	watchOpen        bool
 	wakesAt          float64
 	lapsedMS         float64 // time without a valid lease since the start of the outage
@@ -59,14 +59,14 @@
 	for i := range fleet {
 		n := &scheduler{number: i, expiredAt: math.Inf(1), wakesAt: math.Inf(1), renewedAfterMS: math.Inf(1), watchOpenAfterMS: math.Inf(1)}
 		var err error
-		n.module, err = balance.New(balance.Settings{Fleet: fleet, Self: i, Peers: exchange, Subscribe: true, AskWithin: 10 * time.Second, Tick: 5 * time.Millisecond,
-			MaxAttempts: 3, ColdFrom: 0.2, ColdFor: time.Second, FallMultiple: 3, FallWindow: time.Second,
-			Classes: []balance.Class{{Name: "c", Aim: time.Second, Deadline: time.Second, Worth: 1}}}, seed<<16|uint64(i))
+		n.module, err = balance.New(balance.Settings{Fleet: fleet, Self: i, Peers: exchange, Subscribe: true, MaxQueryInterval: 10 * time.Second, Tick: 5 * time.Millisecond,
+			MaxAttempts: 3, ColdFrom: 0.2, ColdFor: time.Second, CollapseMultiple: 3, CollapseWindow: time.Second,
+			Classes: []balance.Class{{Name: "c", LatencyTarget: time.Second, Deadline: time.Second, Value: 1}}}, seed<<16|uint64(i))
 		require.NoError(t, err)
-		n.lease, err = freshness.NewLease(leaseMS, leaseMS)
+		n.lease, err = listlease.NewLease(leaseMS, leaseMS)
 		require.NoError(t, err)
 		if exchange {
-			n.peers, err = freshness.NewPeers(0, freshness.PeersConfig{Self: i, Fleet: fleet, Seed: seed<<16 | uint64(i), QueryIntervalMS: 250, UnwatchedQueryAgeMS: 1000,
+			n.peers, err = listlease.NewPeers(0, listlease.PeersConfig{Self: i, Fleet: fleet, Seed: seed<<16 | uint64(i), QueryIntervalMS: 250, UnwatchedQueryAgeMS: 1000,
 				WatchedQueryAgeMS: 2600, PeersPerQuery: 3, MinAgeGainMS: 200, KeepQueryMS: 1500}, n.lease)
 			require.NoError(t, err)
 		}
@@ -119,7 +119,7 @@
 func (s *outageSimulation) failWatch(n *scheduler) {
 	n.watchOpen = false
 	n.lease.WatchEnded(s.Now)
-	s.step(n, balance.Event{Kind: balance.Listed, List: balance.AskFailed})
+	s.step(n, balance.Event{Kind: balance.Listed, List: balance.RequestFailed})
 	s.afterLeaseEvent(n)
 }
 
@@ -191,7 +191,7 @@
 	})
 }
 
-func (s *outageSimulation) send(from *scheduler, messages []freshness.Message) {
+func (s *outageSimulation) send(from *scheduler, messages []listlease.Message) {
 	for _, m := range messages {
 		for _, to := range m.To {
 			s.datagrams++
@@ -206,7 +206,7 @@
 				}
 				s.send(n, out)
 				if changed || n.lease.Valid() && !n.watchOpen {
-					s.step(n, balance.Event{Kind: balance.Answered})
+					s.step(n, balance.Event{Kind: balance.PeerGotList})
 				}
 				s.afterLeaseEvent(n)
 			})
--- a/internal/freshness/peers.go
+++ b/internal/listlease/peers.go
@@ -1,4 +1,4 @@
-package freshness
+package listlease
 
 import (
 	"fmt"
@@ -29,7 +29,7 @@
 
 // pendingQuery is a query for which there was no younger confirmation when it was received.
 type pendingQuery struct {
-	gossip.ListQuestion
+	gossip.ListRequest
 	receivedAt float64
 }
 
@@ -76,7 +76,7 @@
 		return nil
 	}
 	p.nextQueryAt = now + p.cfg.QueryIntervalMS*(1+0.5*p.rng.Float64())
-	q := gossip.ListQuestion{Process: p.process, AskedAt: micros(now), Age: p.lease.Age(now), Digest: p.lease.digest}
+	q := gossip.ListRequest{Process: p.process, SentAt: micros(now), Age: p.lease.Age(now), Digest: p.lease.digest}
 	return []Message{{To: p.choosePeers(), Raw: string(q.Append(nil))}}
 }
 
@@ -110,7 +110,7 @@
 // reports whether the withheld state of any target changed.
 func (p *Peers) Receive(now float64, sender int, raw string) (out []Message, changed bool, err error) {
 	if sender < 0 || sender >= p.cfg.Fleet || sender == p.cfg.Self {
-		return nil, false, gossip.ErrForm
+		return nil, false, gossip.ErrFormat
 	}
 	q, a, err := gossip.ParseList(raw)
 	switch {
@@ -129,8 +129,8 @@
 
 // receiveResponse handles a response. It ignores one to another process of the same scheduler, one whose query time is in the
 // future, and one whose age has reached gossip.MaxAge, which also represents all longer ages.
-func (p *Peers) receiveResponse(now float64, a *gossip.ListAnswer) (changed bool) {
-	queriedAt := float64(a.AskedAt) / 1000
+func (p *Peers) receiveResponse(now float64, a *gossip.ListResponse) (changed bool) {
+	queriedAt := float64(a.RequestSentAt) / 1000
 	if a.Process != p.process || a.Age >= gossip.MaxAge || queriedAt > now {
 		return false
 	}
@@ -146,7 +146,7 @@
 			delete(p.pendingQueries, querier)
 			continue
 		}
-		aged := q.ListQuestion
+		aged := q.ListRequest
 		aged.Age += now - q.receivedAt
 		if m, ok := p.respond(now, querier, &aged); ok {
 			out = append(out, m)
@@ -157,12 +157,12 @@
 }
 
 // respond returns the response to a query. It returns false if the own confirmation is not younger by MinAgeGainMS.
-func (p *Peers) respond(now float64, querier int, q *gossip.ListQuestion) (Message, bool) {
+func (p *Peers) respond(now float64, querier int, q *gossip.ListRequest) (Message, bool) {
 	age := p.lease.Age(now)
 	if !p.lease.Valid() || age+p.cfg.MinAgeGainMS > q.Age {
 		return Message{}, false
 	}
-	a := gossip.ListAnswer{Process: q.Process, AskedAt: q.AskedAt, Age: age, Digest: q.Digest}
+	a := gossip.ListResponse{Process: q.Process, RequestSentAt: q.SentAt, Age: age, Digest: q.Digest}
 	a.Except, a.Keys = p.lease.servingKeys(q.Digest, (float64(querier)+0.5)/float64(p.cfg.Fleet))
 	return Message{To: []int{querier}, Raw: string(a.Append(nil))}, true
 }
--- a/internal/freshness/peers_test.go
+++ b/internal/listlease/peers_test.go
@@ -1,4 +1,4 @@
-package freshness
+package listlease
 
 import (
 	"fmt"
@@ -79,7 +79,7 @@
 	require.Empty(t, informedPeers.DueResponses(2001), "the query is answered once")
 	deliver(t, 2010, 0, querierPeers, responses)
 	require.Equal(t, 1490+leaseMS, querier.Until())
-	require.Empty(t, deliver(t, 2500, 1, informedPeers, []Message{{Raw: string((&gossip.ListQuestion{Age: 100}).Append(nil))}}))
+	require.Empty(t, deliver(t, 2500, 1, informedPeers, []Message{{Raw: string((&gossip.ListRequest{Age: 100}).Append(nil))}}))
 	informed.Heartbeat(9000, 9000)
 	require.Empty(t, informedPeers.DueResponses(9000), "the query is too old")
 }
@@ -126,12 +126,12 @@
 func TestInvalidResponsesAreIgnored(t *testing.T) {
 	informed, querier, informedPeers, querierPeers := newPair(t)
 	informed.ConfirmList(1000, 1000, serving("a", "b"))
-	valid := gossip.ListAnswer{Process: querierPeers.process, AskedAt: 1_000_000, Age: 5, Except: true, Digest: querier.digest}
-	for _, change := range []func(*gossip.ListAnswer){
-		func(a *gossip.ListAnswer) { a.Process++ },
-		func(a *gossip.ListAnswer) { a.AskedAt += 1_000_001 },
-		func(a *gossip.ListAnswer) { a.Age = gossip.MaxAge },
-		func(a *gossip.ListAnswer) { a.Digest++ },
+	valid := gossip.ListResponse{Process: querierPeers.process, RequestSentAt: 1_000_000, Age: 5, Except: true, Digest: querier.digest}
+	for _, change := range []func(*gossip.ListResponse){
+		func(a *gossip.ListResponse) { a.Process++ },
+		func(a *gossip.ListResponse) { a.RequestSentAt += 1_000_001 },
+		func(a *gossip.ListResponse) { a.Age = gossip.MaxAge },
+		func(a *gossip.ListResponse) { a.Digest++ },
 	} {
 		invalid := valid
 		change(&invalid)
@@ -160,7 +160,7 @@
 	// onStart is called when a scheduler starts.
 	onStart func(n *node)
 	// onResponse can change a response before it is sent to the querier.
-	onResponse func(querier *node, now float64, a *gossip.ListAnswer)
+	onResponse func(querier *node, now float64, a *gossip.ListResponse)
 }
 
 // node is a scheduler of a fleet in virtual time. Times are in milliseconds.
@@ -363,10 +363,10 @@
 // identify their process, and responses that omit the targets that left the list.
 func TestFleetCheckerFindsFaults(t *testing.T) {
 	faults := map[string]fleetFault{
-		"no age in responses":    {onResponse: func(_ *node, _ float64, a *gossip.ListAnswer) { a.Age = 0 }},
-		"dated by another clock": {onResponse: func(querier *node, _ float64, a *gossip.ListAnswer) { a.AskedAt += 2_000_000 }},
+		"no age in responses":    {onResponse: func(_ *node, _ float64, a *gossip.ListResponse) { a.Age = 0 }},
+		"dated by another clock": {onResponse: func(querier *node, _ float64, a *gossip.ListResponse) { a.RequestSentAt += 2_000_000 }},
 		"same process identity":  {onStart: func(n *node) { n.peers.process = 7 }},
-		"removals omitted":       {onResponse: func(_ *node, _ float64, a *gossip.ListAnswer) { a.Keys = nil }},
+		"removals omitted":       {onResponse: func(_ *node, _ float64, a *gossip.ListResponse) { a.Keys = nil }},
 	}
 	for name, fault := range faults {
 		violations := 0
--- a/internal/rig/rig.go
+++ b/internal/logcheck/logcheck.go
@@ -1,4 +1,4 @@
-// Package rig checks the guarantees of a fleet of real scheduler processes that ran under fault injection.
+// Package logcheck checks the guarantees of a fleet of real scheduler processes that ran under fault injection.
 //
 // Read extracts events from the log of one scheduler. Check merges the events of all schedulers on one
 // timeline. It returns the periods in which each scheduler believed that it held a duty, and counts
@@ -7,7 +7,7 @@
 //
 // docs/DUTIES.md describes the log records: slog's text format, with the time in the key at, in ms of the
 // machine's clock. Times of different processes on one machine are comparable because they share that clock.
-package rig
+package logcheck
 
 import (
 	"cmp"
--- a/internal/net/discovery/discovery.go
+++ b/internal/net/discovery/discovery.go
@@ -45,26 +45,26 @@
 	Clock   clock.Clock
 	Log     *slog.Logger
 	Stack   *httpio.Stack
-	// Tell receives every list, and a group of scope AskFailed after each watch that failed or ended.
-	Tell func(core.Group)
-	// SignOfLife receives the time of each sign of life, in milliseconds, on a watch whose first list has arrived.
+	// OnList receives every list, and a group of scope AskFailed after each watch that failed or ended.
+	OnList func(core.TargetList)
+	// OnHeartbeat receives the time of each sign of life, in milliseconds, on a watch whose first list has arrived.
 	// Nil if not needed.
-	SignOfLife func(readAt float64)
-	// Moved is called when the discovery address changes. Nil if not needed.
-	Moved func()
-	// Held reports whether a list is known at the start, and From is its version, which may be 0. The watcher then
+	OnHeartbeat func(readAt float64)
+	// OnAddressChange is called when the discovery address changes. Nil if not needed.
+	OnAddressChange func()
+	// HasList reports whether a list is known at the start, and From is its version, which may be 0. The watcher then
 	// requests only the changes since: the whole list costs discovery work for each line, and after a release all
 	// schedulers send their requests at once.
-	Held bool
-	From uint64
+	HasList     bool
+	FromVersion uint64
 }
 
-// Move changes the discovery address and requests a watch there at once, without waiting for the module's next
+// SetAddress changes the discovery address and requests a watch there at once, without waiting for the module's next
 // retry. The known targets stay valid until the new address responds. The request is for the whole list: versions
 // belong to the service that assigned them, and the new address need not continue those of the old one. Until it
 // has responded, changes from the old address are still passed on, as a change counts from when it was written.
 // Signs of life of the old address are not, as its list is no longer authoritative.
-func (w *Watcher) Move(address string) {
+func (w *Watcher) SetAddress(address string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if address == w.Address {
@@ -74,14 +74,14 @@
 	if w.current != nil {
 		w.current.markReplaced()
 	}
-	if w.Moved != nil {
-		w.Moved()
+	if w.OnAddressChange != nil {
+		w.OnAddressChange()
 	}
-	w.Watch()
+	w.RequestWatch()
 }
 
-// Watch requests a watch. It does not block; while one is open it does nothing.
-func (w *Watcher) Watch() {
+// RequestWatch requests a watch. It does not block; while one is open it does nothing.
+func (w *Watcher) RequestWatch() {
 	select {
 	case w.requests <- struct{}{}:
 	default:
@@ -126,9 +126,9 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.addressChanged {
-		w.addressChanged, w.Held, w.From = false, false, 0
+		w.addressChanged, w.HasList, w.FromVersion = false, false, 0
 	}
-	started := &watch{Watcher: w, address: w.Address, hasList: w.Held, fromVersion: w.From, startedAt: w.Clock.Now(), replaced: make(chan struct{}), ended: make(chan struct{})}
+	started := &watch{Watcher: w, address: w.Address, hasList: w.HasList, fromVersion: w.FromVersion, startedAt: w.Clock.Now(), replaced: make(chan struct{}), ended: make(chan struct{})}
 	started.ctx, started.cancel = context.WithCancel(ctx)
 	w.current = started
 	return started
@@ -149,8 +149,8 @@
 		w.Log.Info("discovery address changed", "from", ended.address)
 		return // Move has already requested a watch
 	}
-	w.Log.Warn("watch ended", "discovery", ended.address, "index", w.From, "lasted_ms", w.Clock.Now()-ended.startedAt, "cause", ended.err)
-	w.Tell(core.Group{Scope: balance.AskFailed})
+	w.Log.Warn("watch ended", "discovery", ended.address, "index", w.FromVersion, "lasted_ms", w.Clock.Now()-ended.startedAt, "cause", ended.err)
+	w.OnList(core.TargetList{Scope: balance.RequestFailed})
 }
 
 // streamMonitor passes on a stream of lists and extends the watch as data arrives. The stream is JSON objects in
--- a/internal/net/discovery/discovery_test.go
+++ b/internal/net/discovery/discovery_test.go
@@ -25,9 +25,9 @@
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer ln.Close()
-	groups := make(chan core.Group, 9)
+	groups := make(chan core.TargetList, 9)
 	w := New(Config{Address: ln.Addr().String(), Clock: clock.NewManual(1), Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
-		Stack: httpio.NewStack(), Held: true, From: 0, Tell: func(g core.Group) { groups <- g }})
+		Stack: httpio.NewStack(), HasList: true, FromVersion: 0, OnList: func(g core.TargetList) { groups <- g }})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { w.Run(ctx); close(done) }()
@@ -38,7 +38,7 @@
 		{"43", "200 OK", "{not a list}\n"},
 		{"", "200 OK", `{"index":50,"snapshot":true,"endpoints":[]}` + "\n"},
 	} {
-		w.Watch()
+		w.RequestWatch()
 		c, err := ln.Accept()
 		require.NoError(t, err)
 		req, err := http.ReadRequest(bufio.NewReader(c))
@@ -54,9 +54,9 @@
 			require.Equal(t, balance.Draining, g.Targets[1].State, "a target of unknown status receives nothing")
 		}
 		if round.from == "" {
-			require.Equal(t, balance.Whole, (<-groups).Scope)
+			require.Equal(t, balance.Complete, (<-groups).Scope)
 		}
 		c.Close()
-		require.Equal(t, balance.AskFailed, (<-groups).Scope, "the end of a watch is reported")
+		require.Equal(t, balance.RequestFailed, (<-groups).Scope, "the end of a watch is reported")
 	}
 }
--- a/internal/net/discovery/list.go
+++ b/internal/net/discovery/list.go
@@ -28,10 +28,10 @@
 
 // TargetGroup converts the list for the core. An entry that cannot be read is left out; the error then reports it,
 // and the other entries are valid.
-func (l *List) TargetGroup() (core.Group, error) {
-	group := core.Group{Scope: balance.Changes}
+func (l *List) TargetGroup() (core.TargetList, error) {
+	group := core.TargetList{Scope: balance.Changes}
 	if l.Snapshot {
-		group.Scope = balance.Whole
+		group.Scope = balance.Complete
 	}
 	var entryErr error
 	for _, entry := range l.Endpoints {
--- a/internal/net/discovery/stream_test.go
+++ b/internal/net/discovery/stream_test.go
@@ -62,15 +62,15 @@
 	w      *Watcher
 	ln     net.Listener
 	clock  *deadlineClock
-	groups chan core.Group
+	groups chan core.TargetList
 }
 
 func newFixture(t *testing.T) *fixture {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	s := &fixture{t: t, ln: ln, clock: &deadlineClock{Manual: clock.NewManual(1)}, groups: make(chan core.Group, 9)}
+	s := &fixture{t: t, ln: ln, clock: &deadlineClock{Manual: clock.NewManual(1)}, groups: make(chan core.TargetList, 9)}
 	s.w = New(Config{Address: ln.Addr().String(), Clock: s.clock, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
-		Stack: httpio.NewStack(), Held: true, From: 41, Tell: func(g core.Group) { s.groups <- g }})
+		Stack: httpio.NewStack(), HasList: true, FromVersion: 41, OnList: func(g core.TargetList) { s.groups <- g }})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { s.w.Run(ctx); close(done) }()
@@ -107,7 +107,7 @@
 // Lists may arrive in any layout, in pieces, several at once, and with white space between them.
 func TestListsInAnyLayout(t *testing.T) {
 	s := newFixture(t)
-	s.w.Watch()
+	s.w.RequestWatch()
 	_, chunk, _ := s.open()
 	one := s.list(42)
 	for i := 0; i < len(one); i += 7 {
@@ -126,7 +126,7 @@
 // nothing. The watch is reopened from the last complete list, and what it reports then counts.
 func TestHalfAListIsSilence(t *testing.T) {
 	s := newFixture(t)
-	s.w.Watch()
+	s.w.RequestWatch()
 	_, chunk, c := s.open()
 	chunk(s.list(42))
 	require.Equal(t, "t42", (<-s.groups).Targets[0].ID)
@@ -138,7 +138,7 @@
 	for ended := false; !ended; {
 		select {
 		case g := <-s.groups:
-			require.Equal(t, balance.AskFailed, g.Scope)
+			require.Equal(t, balance.RequestFailed, g.Scope)
 			ended = true
 		case <-time.After(20 * time.Millisecond):
 			_, _ = io.WriteString(c, "1\r\n\n\r\n") // white space inside an object is none
@@ -148,7 +148,7 @@
 	require.Equal(t, 6, s.clock.requested)
 	s.clock.short = 0
 	s.clock.mu.Unlock()
-	s.w.Watch()
+	s.w.RequestWatch()
 	from, chunk, _ := s.open()
 	require.Equal(t, "42", from)
 	chunk(s.list(43))
@@ -160,13 +160,13 @@
 	require.Less(t, silenceTimeout, 6000.0-dialTimeout, "or there is no time for a new request before the missed changes count as reported")
 	require.Greater(t, silenceTimeout, 2000.0, "an empty line comes every 2 s")
 	s := newFixture(t)
-	s.w.Watch()
+	s.w.RequestWatch()
 	_, chunk, _ := s.open()
 	chunk(s.list(42))
 	require.Equal(t, "t42", (<-s.groups).Targets[0].ID)
 	s.clock.pass()
 	chunk("\n")
-	require.Equal(t, balance.AskFailed, (<-s.groups).Scope)
+	require.Equal(t, balance.RequestFailed, (<-s.groups).Scope)
 }
 
 // Crossing: SIGHUP changes the discovery address while a request has no response yet. The watcher sends a request to
@@ -176,11 +176,11 @@
 	other, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer other.Close()
-	s.w.Watch()
+	s.w.RequestWatch()
 	silent, err := s.ln.Accept()
 	require.NoError(t, err)
 	defer silent.Close()
-	s.w.Move(other.Addr().String())
+	s.w.SetAddress(other.Addr().String())
 	s.ln = other
 	from, chunk, _ := s.open()
 	require.Empty(t, from, "versions of the old address are not valid there")
@@ -194,15 +194,15 @@
 func TestChangeThatCrossesTheMove(t *testing.T) {
 	s := newFixture(t)
 	signs := make(chan float64, 9)
-	s.w.SignOfLife = func(readAt float64) { signs <- readAt }
+	s.w.OnHeartbeat = func(readAt float64) { signs <- readAt }
 	other, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer other.Close()
-	s.w.Watch()
+	s.w.RequestWatch()
 	_, chunk, old := s.open()
 	chunk(s.list(42))
 	require.Positive(t, (<-s.groups).ReadAt)
-	s.w.Move(other.Addr().String())
+	s.w.SetAddress(other.Addr().String())
 	chunk("\n")
 	chunk(s.list(43))
 	g := <-s.groups
@@ -229,17 +229,17 @@
 		s := newFixture(t)
 		other, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
-		s.w.Watch()
+		s.w.RequestWatch()
 		_, _, c := s.open()
 		go c.Close()
-		s.w.Move(other.Addr().String())
+		s.w.SetAddress(other.Addr().String())
 		s.ln.Close()
 		s.ln = other
 		from, chunk, _ := s.open()
 		require.Empty(t, from)
 		chunk(s.list(8))
 		for g := range s.groups {
-			if g.Scope != balance.AskFailed {
+			if g.Scope != balance.RequestFailed {
 				require.Equal(t, "t8", g.Targets[0].ID)
 				break
 			}
@@ -254,8 +254,8 @@
 func TestSignsOfLifeAreDated(t *testing.T) {
 	s := newFixture(t)
 	signs := make(chan float64, 9)
-	s.w.SignOfLife = func(readAt float64) { signs <- readAt }
-	s.w.Watch()
+	s.w.OnHeartbeat = func(readAt float64) { signs <- readAt }
+	s.w.RequestWatch()
 	_, chunk, c := s.open()
 	chunk("\n")
 	s.awaitDeadlines(4, "request, response, open, the empty line")
@@ -274,7 +274,7 @@
 	require.Equal(t, 1750.0, <-signs)
 	s.clock.Advance(2151)
 	c.Close()
-	require.Equal(t, balance.AskFailed, (<-s.groups).Scope)
+	require.Equal(t, balance.RequestFailed, (<-s.groups).Scope)
 	require.Empty(t, signs, "an empty line was overdue: the watch had fallen silent")
 }
 
@@ -302,14 +302,14 @@
 	} {
 		s := newFixture(t)
 		signs := make(chan float64, 9)
-		s.w.SignOfLife = func(readAt float64) { signs <- readAt }
-		s.w.Watch()
+		s.w.OnHeartbeat = func(readAt float64) { signs <- readAt }
+		s.w.RequestWatch()
 		_, chunk, c := s.open()
 		chunk(s.list(42))
 		<-s.groups
 		s.clock.Advance(2149)
 		play.ends(s, chunk, c)
-		require.Equal(t, balance.AskFailed, (<-s.groups).Scope, name)
+		require.Equal(t, balance.RequestFailed, (<-s.groups).Scope, name)
 		if play.sign {
 			require.Len(t, signs, 1, name)
 			require.Equal(t, 2150.0, <-signs, name)
--- a/internal/net/discovery/watch.go
+++ b/internal/net/discovery/watch.go
@@ -96,8 +96,8 @@
 	}
 	gotList := false // before the first list, a sign of life does not cover what the list has missed
 	monitor.signOfLife = func() {
-		if gotList && x.SignOfLife != nil && x.isCurrent() {
-			x.SignOfLife(monitor.readAt)
+		if gotList && x.OnHeartbeat != nil && x.isCurrent() {
+			x.OnHeartbeat(monitor.readAt)
 		}
 	}
 	for decoder := json.NewDecoder(monitor); ; gotList = true {
@@ -135,7 +135,7 @@
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if x.isCurrent() { // the changes of this object are lost, and only the whole list restores them
-		x.Held, x.From = false, 0
+		x.HasList, x.FromVersion = false, 0
 	}
 	return fmt.Errorf("unreadable list: %w", err)
 }
@@ -150,7 +150,7 @@
 		group.ReadAt = startedAt
 	}
 	x.Log.Info("list", "index", list.Index, "whole", list.Snapshot, "targets", len(list.Endpoints))
-	x.Tell(group)
+	x.OnList(group)
 }
 
 // takeOver records the version of a list, and reports whether the watch is that of the current address. If it is,
@@ -161,7 +161,7 @@
 		x.mu.Unlock()
 		return false
 	}
-	x.gotList, x.Held, x.From = true, true, version
+	x.gotList, x.HasList, x.FromVersion = true, true, version
 	previous := x.previous
 	x.previous = nil
 	x.mu.Unlock()
--- a/internal/net/duties/trust.go
+++ b/internal/net/fleethost/faults.go
@@ -1,6 +1,6 @@
 //go:build !wrong_trust && !wrong_fence && !wrong_plain && !wrong_rules
 
-package duties
+package fleethost
 
 // These constants are true only in builds that are faulty on purpose. Such a build tests that the checker of the
 // fault-injection rig finds the fault.
--- a/internal/net/duties/plain_wrong.go
+++ b/internal/net/fleethost/faults_plain.go
@@ -1,6 +1,6 @@
 //go:build wrong_plain && !wrong_trust && !wrong_fence && !wrong_rules
 
-package duties
+package fleethost
 
 const (
 	leasesNeverExpire = false
--- a/internal/net/duties/rules_wrong.go
+++ b/internal/net/fleethost/faults_rules.go
@@ -1,6 +1,6 @@
 //go:build wrong_rules && !wrong_trust && !wrong_fence && !wrong_plain
 
-package duties
+package fleethost
 
 const (
 	leasesNeverExpire = false
--- a/internal/net/duties/trust_wrong.go
+++ b/internal/net/fleethost/faults_trust.go
@@ -1,6 +1,6 @@
 //go:build wrong_trust && !wrong_fence && !wrong_plain && !wrong_rules
 
-package duties
+package fleethost
 
 const (
 	leasesNeverExpire = true
--- a/internal/net/duties/duties.go
+++ b/internal/net/fleethost/fleethost.go
@@ -1,9 +1,9 @@
-// Package duties runs a scheduler's part of the fleet. It is given datagrams from the other schedulers, reports
+// Package fleethost runs a scheduler's part of the fleet. It is given datagrams from the other schedulers, reports
 // about targets and tenants, and a clock. One goroutine owns the fleet's state machine, steps it at each event,
 // and executes its actions through the callbacks of Config. The package neither sends datagrams itself nor probes
 // targets. Before any act of a duty, the caller calls Holds, which reads the clock at that moment and does not
 // block.
-package duties
+package fleethost
 
 import (
 	"cmp"
@@ -29,17 +29,17 @@
 	Fleet fleet.Config
 	Clock clock.Clock
 	Log   *slog.Logger
-	Tell  func(to int, raw string)
+	Send  func(to int, raw string)
 	// Probe starts a probe of a target; Probed reports its result. Judge excludes a target for lasts milliseconds
 	// (0: includes it again). Both are nil if no scheduler examines targets. Neither may block on the host.
-	Probe func(target string)
-	Judge func(target string, lasts float64)
-	// Share reports the part of each tenant's requests that is within its share, for lasts milliseconds. Nil if
+	Probe       func(target string)
+	SetExcluded func(target string, lasts float64)
+	// SetShares reports the part of each tenant's requests that is within its share, for lasts milliseconds. Nil if
 	// shares are not added up. It may not block.
-	Share func(parts map[string]float64, lasts float64)
-	// Rule reports the document in force until a time of the clock, and its strict form, which is in force from
+	SetShares func(parts map[string]float64, lasts float64)
+	// ApplyRules reports the document in force until a time of the clock, and its strict form, which is in force from
 	// then on. Nil if no rules are agreed on. It may not block.
-	Rule func(now *rules.Doc, until float64, strict *rules.Doc)
+	ApplyRules func(now *rules.Doc, until float64, strict *rules.Doc)
 }
 
 // grant is the last grant of a duty.
@@ -67,7 +67,7 @@
 	rulesVersion  rules.Version     // the version in force, as last reported
 	strictRules   bool
 
-	Lost atomic.Int64 // events dropped because the queue was full
+	Dropped atomic.Int64 // events dropped because the queue was full
 }
 
 // New returns a host. Run starts it.
@@ -104,26 +104,26 @@
 	return h, nil
 }
 
-// Heard passes on a datagram of another scheduler. Any datagram, of the fleet or not, shows that its sender is
+// Receive passes on a datagram of another scheduler. Any datagram, of the fleet or not, shows that its sender is
 // live. It does not block.
-func (h *Host) Heard(from int, raw string) {
-	h.post(fleet.Event{Kind: fleet.Heard, From: from, Raw: raw})
+func (h *Host) Receive(from int, raw string) {
+	h.post(fleet.Event{Kind: fleet.DatagramReceived, From: from, Raw: raw})
 }
 
-// Doubt reports that this scheduler suspects a target and has stopped choosing it. It does not block.
-func (h *Host) Doubt(target string, failing bool) {
-	h.post(fleet.Event{Kind: fleet.Doubted, Target: target, Failing: failing})
+// ReportSuspicion reports that this scheduler suspects a target and has stopped choosing it. It does not block.
+func (h *Host) ReportSuspicion(target string, failing bool) {
+	h.post(fleet.Event{Kind: fleet.TargetSuspected, Target: target, Failing: failing})
 }
 
-// Probed reports the result of a probe of a target, whoever requested it. It does not block.
-func (h *Host) Probed(target string, responded bool) {
-	h.post(fleet.Event{Kind: fleet.Probed, Target: target, Answered: responded})
+// ReportProbe reports the result of a probe of a target, whoever requested it. It does not block.
+func (h *Host) ReportProbe(target string, responded bool) {
+	h.post(fleet.Event{Kind: fleet.ProbeDone, Target: target, Responded: responded})
 }
 
-// Listed reports all known targets with their zones. It does not block. A dropped list is repeated with the next
+// SetTargets reports all known targets with their zones. It does not block. A dropped list is repeated with the next
 // change.
-func (h *Host) Listed(zones map[string]string) {
-	h.post(fleet.Event{Kind: fleet.Listed, Targets: slices.Collect(maps.Keys(zones)), Zones: zones})
+func (h *Host) SetTargets(zones map[string]string) {
+	h.post(fleet.Event{Kind: fleet.TargetsListed, Targets: slices.Collect(maps.Keys(zones)), Zones: zones})
 }
 
 // Publish requests that a document be put in force in the whole fleet, provided that all live members accept it.
@@ -147,8 +147,8 @@
 	return nil
 }
 
-// Asked counts a request of a tenant. It does not block. A tenant without a share is not counted.
-func (h *Host) Asked(tenant string) {
+// CountRequest counts a request of a tenant. It does not block. A tenant without a share is not counted.
+func (h *Host) CountRequest(tenant string) {
 	if i, ok := h.tenantIndex[tenant]; ok {
 		h.counts[i].Add(1)
 	}
@@ -158,7 +158,7 @@
 	select {
 	case h.events <- ev:
 	default:
-		h.Lost.Add(1)
+		h.Dropped.Add(1)
 	}
 }
 
@@ -185,8 +185,8 @@
 	}
 }
 
-// Show requests a log of this scheduler's view of all members and duties. It does not block.
-func (h *Host) Show() {
+// LogState requests a log of this scheduler's view of all members and duties. It does not block.
+func (h *Host) LogState() {
 	select {
 	case h.showRequests <- struct{}{}:
 	default: // a request is already pending
@@ -234,16 +234,16 @@
 		for i := range h.counts {
 			h.countSnapshot[i] = h.counts[i].Load()
 		}
-		ev.Asked = h.countSnapshot
+		ev.Requests = h.countSnapshot
 	}
 	if agreementDisabled && ev.Kind == fleet.Publish {
 		if _, digest, err := ev.Doc.Pack(); err == nil {
-			h.config.Rule(ev.Doc, math.Inf(1), ev.Doc)
+			h.config.ApplyRules(ev.Doc, math.Inf(1), ev.Doc)
 			h.config.Log.Info("rules in force", "number", 0, "a", digest, "b", 0, "strict", false, "at", now, "until", math.Inf(1))
 		}
 		return
 	}
-	if ev.Kind == fleet.Listed {
+	if ev.Kind == fleet.TargetsListed {
 		h.zones = ev.Zones
 		maps.DeleteFunc(h.unhealthy, func(id string, _ bool) bool { return !slices.Contains(ev.Targets, id) })
 	}
@@ -264,7 +264,7 @@
 	if leasesNeverExpire {
 		return math.MaxInt64
 	}
-	return h.machine.Until(duty)
+	return h.machine.HeldUntil(duty)
 }
 
 // ruleUntil returns when a document expires. A strict form never does, as it is the last.
@@ -277,8 +277,8 @@
 
 func (h *Host) apply(now float64, action *fleet.Action) {
 	switch action.Kind {
-	case fleet.Tell:
-		h.config.Tell(action.To, action.Raw)
+	case fleet.Send:
+		h.config.Send(action.To, action.Raw)
 	case fleet.Wake:
 		h.alarm.Set(action.At)
 	case fleet.Gained:
@@ -288,34 +288,34 @@
 	case fleet.Lost:
 		h.grants[action.Duty].Store(nil)
 		h.config.Log.Info("duty lost", "duty", action.Duty, "number", action.Number, "at", now, "cause", action.Note)
-	case fleet.Took:
+	case fleet.ActAccepted:
 		h.config.Log.Debug("duty act taken", "duty", action.Duty, "number", action.Number, "holder", action.To, "at", now)
-	case fleet.Refused:
+	case fleet.ActRefused:
 		h.config.Log.Info("duty act refused", "duty", action.Duty, "number", action.Number, "holder", action.To, "at", now)
-	case fleet.Learnt:
+	case fleet.HolderChanged:
 		h.config.Log.Info("duty held", "duty", action.Duty, "number", action.Number, "holder", action.To)
 	case fleet.Probe:
 		h.config.Probe(action.Target)
-	case fleet.Judged:
-		h.config.Judge(action.Target, action.Lasts)
+	case fleet.Verdict:
+		h.config.SetExcluded(action.Target, action.Lasts)
 		if unhealthy := action.Lasts > 0; unhealthy != h.unhealthy[action.Target] {
 			h.unhealthy[action.Target] = unhealthy
 			h.config.Log.Info("target judged", "duty", action.Duty, "number", action.Number, "target", action.Target, "ill", unhealthy, "at", now)
 		}
-	case fleet.Shared:
-		h.config.Share(action.Parts, action.Lasts)
+	case fleet.FractionsChanged:
+		h.config.SetShares(action.Fractions, action.Lasts)
 		for name := range h.tenantIndex {
-			part, overShare := action.Parts[name]
+			part, overShare := action.Fractions[name]
 			if overShare != h.overShare[name] {
 				h.overShare[name] = overShare
 				h.config.Log.Info("tenant judged", "duty", action.Duty, "number", action.Number, "tenant", name, "beyond", overShare, "part", cmp.Or(part, 1), "at", now)
 			}
 		}
-	case fleet.Rule:
+	case fleet.ApplyRules:
 		if agreementDisabled {
 			return
 		}
-		h.config.Rule(action.Doc, h.ruleUntil(action), rules.Strict(action.Doc, h.config.Fleet.Rules.Classes, h.config.Fleet.Rules.Fleet))
+		h.config.ApplyRules(action.Doc, h.ruleUntil(action), rules.Strict(action.Doc, h.config.Fleet.Rules.Classes, h.config.Fleet.Rules.Fleet))
 		level := slog.LevelDebug // only its end has changed
 		if action.Version != h.rulesVersion || action.Strict != h.strictRules {
 			level, h.rulesVersion, h.strictRules = slog.LevelInfo, action.Version, action.Strict
@@ -323,7 +323,7 @@
 		h.config.Log.Log(context.Background(), level, "rules in force", "number", action.Version.Number, "a", action.Version.A, "b", action.Version.B, "strict", action.Strict, "at", now, "until", h.ruleUntil(action))
 	case fleet.Adopted:
 		h.config.Log.Info("rules adopted by all", "number", action.Version.Number, "a", action.Version.A, "at", now)
-	case fleet.Dropped:
+	case fleet.RulesRefused:
 		h.config.Log.Warn("rules refused", "a", action.Digest, "by", action.To, "cause", action.Note, "at", now)
 	case fleet.Alarm:
 		h.config.Log.Error("rules alarm", "number", action.Version.Number, "from", action.To, "cause", action.Note, "at", now)
@@ -332,6 +332,6 @@
 		if action.State == members.Dead {
 			level = slog.LevelWarn
 		}
-		h.config.Log.Log(context.Background(), level, "member", "who", action.To, "state", action.State.String(), "living", h.machine.Living())
+		h.config.Log.Log(context.Background(), level, "member", "who", action.To, "state", action.State.String(), "living", h.machine.LiveMembers())
 	}
 }
--- a/internal/net/duties/duties_test.go
+++ b/internal/net/fleethost/fleethost_test.go
@@ -1,4 +1,4 @@
-package duties
+package fleethost
 
 import (
 	"bytes"
@@ -19,7 +19,7 @@
 	"cottonwell/internal/fleet/lease"
 	"cottonwell/internal/fleet/members"
 	"cottonwell/internal/fleet/rules"
-	"cottonwell/internal/fleet/shares"
+	"cottonwell/internal/fleet/usage"
 )
 
 // testFleet is a set of hosts on one manual clock, with the transport between them.
@@ -59,13 +59,13 @@
 	for i := range n {
 		c := fleet.Config{Members: members.Default(), Lease: lease.Default()}
 		c.Members.Self, c.Members.Fleet = i, n
-		c.Lease.Self, c.Lease.Fleet, c.Lease.Voters, c.Lease.Life = i, n, min(n, 5), uint32(i)
+		c.Lease.Self, c.Lease.Fleet, c.Lease.Voters, c.Lease.RunID = i, n, min(n, 5), uint32(i)
 		c.Lease.Duties = []lease.Duty{{Name: "examiner"}, {Name: "accountant"}, {Name: "publisher"}}
 		agree := rules.Default()
-		agree.Self, agree.Fleet, agree.Life, agree.Agree, agree.First = i, n, uint32(i), 1000, &rules.Doc{}
+		agree.Self, agree.Fleet, agree.RunID, agree.PermissionTime, agree.InitialDoc = i, n, uint32(i), 1000, &rules.Doc{}
 		c.Rules = &agree
-		add := shares.Default()
-		add.Self, add.Fleet, add.Life, add.Tenants = i, n, uint32(i), []shares.Tenant{{Name: "much", Allowance: 100}, {Name: "little", Allowance: 100}}
+		add := usage.Default()
+		add.Self, add.Fleet, add.RunID, add.Tenants = i, n, uint32(i), []usage.Tenant{{Name: "much", Allowance: 100}, {Name: "little", Allowance: 100}}
 		c.Shares = &add
 		examine := health.Default()
 		examine.Self, examine.Fleet = i, n
@@ -74,23 +74,23 @@
 			c.Addresses = append(c.Addresses, fmt.Sprint(k))
 		}
 		log := &buffer{}
-		h, err := New(Config{Fleet: c, Clock: group.clock, Log: slog.New(slog.NewTextHandler(log, nil)), Tell: func(to int, raw string) { group.hosts[to].Heard(i, raw) },
+		h, err := New(Config{Fleet: c, Clock: group.clock, Log: slog.New(slog.NewTextHandler(log, nil)), Send: func(to int, raw string) { group.hosts[to].Receive(i, raw) },
 			Probe: func(target string) {
 				group.mu.Lock()
 				defer group.mu.Unlock()
-				group.hosts[i].Probed(target, !group.silent[target])
+				group.hosts[i].ReportProbe(target, !group.silent[target])
 			},
-			Judge: func(target string, lasts float64) {
+			SetExcluded: func(target string, lasts float64) {
 				group.mu.Lock()
 				defer group.mu.Unlock()
 				group.excluded[target][i] = lasts > 0
 			},
-			Rule: func(now *rules.Doc, _ float64, _ *rules.Doc) {
+			ApplyRules: func(now *rules.Doc, _ float64, _ *rules.Doc) {
 				group.mu.Lock()
 				defer group.mu.Unlock()
 				group.applied[i] = now
 			},
-			Share: func(parts map[string]float64, _ float64) {
+			SetShares: func(parts map[string]float64, _ float64) {
 				group.mu.Lock()
 				defer group.mu.Unlock()
 				group.parts[i] = parts
@@ -159,7 +159,7 @@
 func TestHostsExcludeUnhealthyTargets(t *testing.T) {
 	group := startFleet(t, 5)
 	for _, h := range group.hosts {
-		h.Listed(map[string]string{"a": "x", "b": "x", "c": "x", "d": "x"})
+		h.SetTargets(map[string]string{"a": "x", "b": "x", "c": "x", "d": "x"})
 	}
 	group.advanceUntil(t, func() bool { return group.holder() >= 0 })
 	excludedAt := func(target string) (n int) {
@@ -176,8 +176,8 @@
 	group.silent["b"] = true
 	group.mu.Unlock()
 	for _, h := range group.hosts[1:4] {
-		h.Doubt("a", false) // it responds
-		h.Doubt("b", false)
+		h.ReportSuspicion("a", false) // it responds
+		h.ReportSuspicion("b", false)
 	}
 	group.advanceUntil(t, func() bool { return excludedAt("b") == 5 })
 	require.Zero(t, excludedAt("a"))
@@ -204,18 +204,18 @@
 	steps := 0
 	group.advanceUntil(t, func() bool { // each 5 ms
 		for _, h := range group.hosts {
-			h.Asked("much")
-			h.Asked("unknown")
+			h.CountRequest("much")
+			h.CountRequest("unknown")
 		}
 		if steps++; steps%4 == 0 {
-			group.hosts[0].Asked("little") // 50 requests/s
+			group.hosts[0].CountRequest("little") // 50 requests/s
 		}
 		return overShareAt("much") == 5
 	})
 	require.Zero(t, overShareAt("little"))
 	require.Regexp(t, `msg="tenant judged" duty=accountant number=\d+ tenant=much beyond=true part=0.\d+`, group.logs[0].String())
 	group.advanceUntil(t, func() bool { return overShareAt("much") == 0 })
-	group.hosts[2].Show()
+	group.hosts[2].LogState()
 	group.advanceUntil(t, func() bool {
 		return strings.Contains(group.logs[2].String(), `msg="fleet duty" duty=accountant holder=`)
 	})
@@ -226,7 +226,7 @@
 func TestHostsAgreeOnRules(t *testing.T) {
 	group := startFleet(t, 5)
 	for _, h := range group.hosts {
-		h.Listed(map[string]string{"a": "x", "b": "x", "c": "y", "d": "y"})
+		h.SetTargets(map[string]string{"a": "x", "b": "x", "c": "y", "d": "y"})
 	}
 	drained := func() (n int) {
 		group.mu.Lock()
@@ -255,10 +255,10 @@
 	group := &testFleet{clock: clock.NewManual(1e9)}
 	c := fleet.Config{Members: members.Default(), Lease: lease.Default(), Addresses: []string{"a", "b"}}
 	c.Members.Fleet, c.Lease.Fleet, c.Lease.Voters = 2, 2, 2
-	h, err := New(Config{Fleet: c, Clock: group.clock, Log: slog.New(slog.DiscardHandler), Tell: func(int, string) {}})
+	h, err := New(Config{Fleet: c, Clock: group.clock, Log: slog.New(slog.DiscardHandler), Send: func(int, string) {}})
 	require.NoError(t, err)
 	for range queueLength + 7 {
-		h.Heard(1, "datagram")
+		h.Receive(1, "datagram")
 	}
-	require.EqualValues(t, 7, h.Lost.Load())
+	require.EqualValues(t, 7, h.Dropped.Load())
 }
--- a/internal/net/handover/handover.go
+++ b/internal/net/handover/handover.go
@@ -35,7 +35,7 @@
 // Process is the part of this process on which the messages of another one act.
 type Process interface {
 	Ready() bool
-	News(core.TargetNews)
+	ReceiveCallback(core.TargetCallback)
 	// Maintain sets a target offline or online.
 	Maintain(target string, offline bool)
 	// Maintained returns the targets that are offline.
@@ -119,10 +119,10 @@
 		}
 	})
 	mux.HandleFunc("POST /news", func(w http.ResponseWriter, r *http.Request) {
-		var n core.TargetNews
+		var n core.TargetCallback
 		if decodeBody(w, r, &n) {
 			n.PassedOn = true
-			l.process.News(n)
+			l.process.ReceiveCallback(n)
 		}
 	})
 	server := &http.Server{Handler: mux, ReadTimeout: messageTimeout, WriteTimeout: 2 * messageTimeout,
@@ -155,8 +155,8 @@
 	return paths
 }
 
-// PassOn forwards news about a job that is unknown here to the other processes. It does not block.
-func (l *Link) PassOn(n core.TargetNews) { l.send("/news", n) }
+// Forward forwards news about a job that is unknown here to the other processes. It does not block.
+func (l *Link) Forward(n core.TargetCallback) { l.send("/news", n) }
 
 // Maintain announces to the other processes that a target is offline or online. It does not block.
 func (l *Link) Maintain(target string, offline bool) {
--- a/internal/net/handover/handover_test.go
+++ b/internal/net/handover/handover_test.go
@@ -23,7 +23,7 @@
 type process struct {
 	mu         sync.Mutex
 	ready      bool
-	news       []core.TargetNews
+	news       []core.TargetCallback
 	maintained map[string]bool
 }
 
@@ -33,7 +33,7 @@
 	return p.ready
 }
 
-func (p *process) News(n core.TargetNews) {
+func (p *process) ReceiveCallback(n core.TargetCallback) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.news = append(p.news, n)
@@ -76,7 +76,7 @@
 	first, older := open(t, dir, "n0", ":1", "1")
 	require.False(t, first.OtherReady())
 	require.Empty(t, first.Inherited())
-	first.PassOn(core.TargetNews{ID: "unknown"}) // there is no other process
+	first.Forward(core.TargetCallback{ID: "unknown"}) // there is no other process
 	require.Eventually(t, func() bool { return len(first.inFlight) == 0 }, waitTimeout, time.Millisecond)
 	older.Maintain("s-1", true)
 	older.Maintain("s-2", false)
@@ -88,8 +88,8 @@
 	require.True(t, second.OtherReady())
 	require.False(t, first.OtherReady())
 	require.Equal(t, []string{"s-1"}, second.Inherited())
-	news := core.TargetNews{ID: "x", From: "s-1", Result: balance.OK, Body: "done", Report: balance.Report{Present: true, Free: 2, InFlight: 1}}
-	second.PassOn(news)
+	news := core.TargetCallback{ID: "x", From: "s-1", Result: balance.OK, Body: "done", Report: balance.Report{Present: true, Free: 2, InFlight: 1}}
+	second.Forward(news)
 	second.Maintain("s-3", true)
 	news.PassedOn = true
 	require.Eventually(t, func() bool {
@@ -97,7 +97,7 @@
 		defer older.mu.Unlock()
 		return len(older.news) == 1 && older.maintained["s-3"]
 	}, waitTimeout, time.Millisecond)
-	require.Equal(t, []core.TargetNews{news}, older.news)
+	require.Equal(t, []core.TargetCallback{news}, older.news)
 	require.Empty(t, newer.news)
 	require.Empty(t, otherScheduler.news, "another scheduler")
 	require.Empty(t, otherAddress.news, "another scheduler of the same name")
@@ -124,7 +124,7 @@
 	require.False(t, l.OtherReady())
 	require.Less(t, time.Since(started), waitTimeout)
 	for range maxMessages + 10 {
-		l.PassOn(core.TargetNews{ID: "x"})
+		l.Forward(core.TargetCallback{ID: "x"})
 	}
 	require.Positive(t, l.Counts.Dropped.Load())
 	require.Zero(t, l.Counts.PassedOn.Load())
--- a/internal/net/httpio/outcomes.go
+++ b/internal/net/httpio/exchange.go
@@ -21,8 +21,8 @@
 	BrokenBefore Exchange = "broken before the request's last byte was written"
 	BrokenAfter  Exchange = "broken between the request's last byte and the 202"
 	NoResponse   Exchange = "no response"
-	GivenUp      Exchange = "cancelled by the scheduler"
-	NotBegun     Exchange = "never started by the scheduler"
+	Cancelled    Exchange = "cancelled by the scheduler"
+	NotStarted   Exchange = "never started by the scheduler"
 )
 
 // outcomeRow is a row of the protocol's table.
@@ -46,8 +46,8 @@
 		{JobLost, balance.Reset},
 		{BrokenAfter, balance.Reset},
 		{NoResponse, balance.TimedOut},
-		{GivenUp, balance.Cancelled},
-		{NotBegun, balance.NeverSent},
+		{Cancelled, balance.Cancelled},
+		{NotStarted, balance.NeverSent},
 	}
 }
 
--- a/internal/net/httpio/httpio.go
+++ b/internal/net/httpio/httpio.go
@@ -306,8 +306,8 @@
 // Size returns the number of sockets.
 func (b *Budget) Size() int { return cap(b.slots) }
 
-// TryTake takes a socket from the budget, and returns false if none is left.
-func (b *Budget) TryTake() bool {
+// TryAcquire takes a socket from the budget, and returns false if none is left.
+func (b *Budget) TryAcquire() bool {
 	select {
 	case b.slots <- struct{}{}:
 		return true
@@ -316,8 +316,8 @@
 	}
 }
 
-// Take waits for a socket from the budget, and returns false if stop is closed first.
-func (b *Budget) Take(stop <-chan struct{}) bool {
+// Acquire waits for a socket from the budget, and returns false if stop is closed first.
+func (b *Budget) Acquire(stop <-chan struct{}) bool {
 	select {
 	case b.slots <- struct{}{}:
 		return true
@@ -326,8 +326,8 @@
 	}
 }
 
-// Give returns a socket to the budget.
-func (b *Budget) Give() { <-b.slots }
+// Release returns a socket to the budget.
+func (b *Budget) Release() { <-b.slots }
 
 // CloseGently closes a connection on which the other side may still be sending. It closes its own sending side,
 // then discards what arrives until the other side closes too or the deadline has passed. Closing with unread bytes
--- a/internal/net/httpio/httpio_test.go
+++ b/internal/net/httpio/httpio_test.go
@@ -16,7 +16,7 @@
 // The exchanges that prove that an attempt never ran decide whether a purchase may move to another pod. They must
 // match the protocol's table.
 func TestExchangesThatProveNeverRan(t *testing.T) {
-	never := map[Exchange]bool{JobReturned: true, Rejected: true, NotConnected: true, BrokenBefore: true, NotBegun: true}
+	never := map[Exchange]bool{JobReturned: true, Rejected: true, NotConnected: true, BrokenBefore: true, NotStarted: true}
 	for _, r := range outcomeTable() {
 		proof := r.result == balance.Full || r.result == balance.NoConnection || r.result == balance.NeverSent
 		require.Equal(t, never[r.exchange], proof, string(r.exchange))
--- a/internal/net/httpio/up.go
+++ b/internal/net/httpio/ready.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Up requests a scheduler's readiness page, and reports whether it is ready within the timeout.
-func Up(address string, within time.Duration) bool {
+// CheckReady requests a scheduler's readiness page, and reports whether it is ready within the timeout.
+func CheckReady(address string, within time.Duration) bool {
 	c, err := net.DialTimeout("tcp", address, within)
 	if err != nil {
 		return false
--- a/internal/net/listener/connectionslots.go
+++ b/internal/net/listener/connectionslots.go
@@ -52,7 +52,7 @@
 
 // acquire takes a slot for a connection, if necessary that of the connection with the lowest eviction rank.
 func (s *connectionSlots) acquire(c *httpio.Conn) (*connectionSlot, bool) {
-	if !s.budget.TryTake() && !s.evict() {
+	if !s.budget.TryAcquire() && !s.evict() {
 		return nil, false
 	}
 	slot := &connectionSlot{conn: c, stateSince: s.clock.Now(), reason: closedByClient}
@@ -77,7 +77,7 @@
 	s.counts.Closes.Add(slot.reason)
 	slot.conn.Close()
 	if !evicted {
-		s.budget.Give()
+		s.budget.Release()
 	}
 }
 
@@ -131,7 +131,7 @@
 	}
 	if n > s.maxIdle {
 		oldest.requestClose()
-		s.counts.Spared.Add(1)
+		s.counts.ClosedExcessIdle.Add(1)
 	}
 }
 
--- a/internal/net/listener/crossing_test.go
+++ b/internal/net/listener/crossing_test.go
@@ -80,9 +80,9 @@
 		end  func(l *Listener, dial func() net.Conn)
 		want string
 	}{
-		"idle, during graceful shutdown":  {true, func(l *Listener, _ func() net.Conn) { l.Wind() }, lastResponse},
+		"idle, during graceful shutdown":  {true, func(l *Listener, _ func() net.Conn) { l.StartShutdown() }, lastResponse},
 		"idle, as its slot is evicted":    {true, func(_ *Listener, dial func() net.Conn) { dial() }, noSlotResponse},
-		"awaiting its first, at shutdown": {false, func(l *Listener, _ func() net.Conn) { l.Shut() }, lastResponse},
+		"awaiting its first, at shutdown": {false, func(l *Listener, _ func() net.Conn) { l.FinishShutdown() }, lastResponse},
 	} {
 		t.Run(name, func(t *testing.T) {
 			ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -121,7 +121,7 @@
 	require.NoError(t, err)
 	l := New(nil, clock.NewManual(1e6), slog.New(slog.NewTextHandler(io.Discard, nil)), httpio.NewStack(), nil, httpio.NewBudget(1))
 	l.SetReady(true)
-	l.Shut()
+	l.FinishShutdown()
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); _ = l.Serve(ctx, &arrivedListener{ln}) }()
--- a/internal/net/listener/listener.go
+++ b/internal/net/listener/listener.go
@@ -35,8 +35,8 @@
 
 // Scheduler is the part of the core that the listener uses.
 type Scheduler interface {
-	TakeIn(*core.Request) core.Ticket
-	News(core.TargetNews)
+	Accept(*core.Request) core.Ticket
+	ReceiveCallback(core.TargetCallback)
 }
 
 // Listener accepts clients' connections and targets' call-backs at one address.
@@ -59,14 +59,14 @@
 // slots taken from inactive connections, Spared the connections closed because too many were idle, and TurnedOff
 // those rejected for lack of a slot.
 type Counts struct {
-	Rejected, Evicted, Spared, TurnedOff atomic.Int64
-	Closes                               httpio.Closes
+	Rejected, Evicted, ClosedExcessIdle, RefusedNoSlot atomic.Int64
+	Closes                                             httpio.Closes
 }
 
 // Class is the listener's part of a class's settings.
 type Class struct {
-	Patience float64 // client timeout in milliseconds where the request has none
-	Keyed    bool    // its jobs must have an Idempotency-Key
+	ClientTimeout float64 // client timeout in milliseconds where the request has none
+	KeyRequired   bool    // its jobs must have an Idempotency-Key
 }
 
 // New returns a listener with a socket budget for its connections.
@@ -79,16 +79,16 @@
 // SetReady sets what the readiness page reports.
 func (l *Listener) SetReady(ready bool) { l.ready.Store(ready) }
 
-// Wind starts the graceful shutdown: it closes the idle connections, and each further one after its response. The
+// StartShutdown starts the graceful shutdown: it closes the idle connections, and each further one after its response. The
 // listener still accepts new connections, as targets call back until the end.
-func (l *Listener) Wind() { l.slots.drain(false) }
+func (l *Listener) StartShutdown() { l.slots.drain(false) }
 
-// Shut also closes the connections that still wait for a first request, and each new one without a pending
+// FinishShutdown also closes the connections that still wait for a first request, and each new one without a pending
 // request. Requests that have arrived are served.
-func (l *Listener) Shut() { l.slots.drain(true) }
+func (l *Listener) FinishShutdown() { l.slots.drain(true) }
 
-// Winding reports whether Wind was called.
-func (l *Listener) Winding() bool { return l.slots.isShuttingDown() }
+// ShuttingDown reports whether Wind was called.
+func (l *Listener) ShuttingDown() bool { return l.slots.isShuttingDown() }
 
 // Busy returns the number of connections on which a request is read or served, or that are closing. After Shut it
 // includes those that wait for a first request.
@@ -122,7 +122,7 @@
 		if !ok {
 			// Every slot has a request in progress. Leaving the connection in the queue would also delay the
 			// call-backs behind it. A target retries its call-back.
-			l.Counts.TurnedOff.Add(1)
+			l.Counts.RefusedNoSlot.Add(1)
 			l.Counts.Closes.Add(closedNoSlot)
 			l.rejectConn(&handlers, conn)
 			continue
@@ -307,10 +307,10 @@
 }
 
 // flowListener receives the core's answer to one flow.
-type flowListener struct{ answer chan core.Answer }
+type flowListener struct{ answer chan core.Response }
 
-// Answer implements core.Listener.
-func (e *flowListener) Answer(a core.Answer) { e.answer <- a } // the channel has room for the one answer
+// Respond implements core.Listener.
+func (e *flowListener) Respond(a core.Response) { e.answer <- a } // the channel has room for the one answer
 
 // Progress implements core.Listener. This protocol has no message for progress.
 func (e *flowListener) Progress(core.Progress) {}
@@ -319,15 +319,15 @@
 // its side meanwhile counts as disconnected, even if it had pipelined another request.
 func (l *Listener) serveFlow(slot *connectionSlot, r *core.Request, lastRequest bool) bool {
 	c := slot.conn
-	listener := &flowListener{answer: make(chan core.Answer, 1)}
-	r.From = listener
+	listener := &flowListener{answer: make(chan core.Response, 1)}
+	r.Receiver = listener
 	// From TakeIn on, the core owns r. The deadline is set before, as a connection that is already broken must not
 	// start a job.
-	if err := c.SetReadDeadline(l.Clock.Deadline(r.Patience + flowGrace)); err != nil {
+	if err := c.SetReadDeadline(l.Clock.Deadline(r.ClientTimeoutMS + flowGrace)); err != nil {
 		r.Job.Body.Release()
 		return false
 	}
-	ticket := l.Core.TakeIn(r)
+	ticket := l.Core.Accept(r)
 	var overflowed bool
 	disconnected := make(chan error, 1)
 	go func() {
@@ -335,13 +335,13 @@
 		overflowed, err = c.WatchClose()
 		disconnected <- err
 	}()
-	var answer core.Answer
+	var answer core.Response
 	select {
 	case answer = <-listener.answer:
 		c.Wake()
 		<-disconnected // even if the client has just closed, the response may still arrive: it may have closed only its sending side
 	case err := <-disconnected:
-		ticket.Left()
+		ticket.ClientLeft()
 		switch {
 		case err == nil:
 			l.closeGently(slot, closedTimeout)
@@ -365,7 +365,7 @@
 }
 
 // fixedResponse returns the response for the core's answer.
-func fixedResponse(a core.Answer) reply {
+func fixedResponse(a core.Response) reply {
 	switch {
 	case a.Kind == core.Served:
 		return reply{status: http.StatusOK, text: a.Body}
@@ -408,9 +408,9 @@
 // Ready reports whether the readiness page reports ready.
 func (l *Listener) Ready() bool { return l.ready.Load() && !l.slots.isOutOfService() }
 
-// Leave takes the scheduler out of service. The readiness page then reports not ready, idle connections are
+// TakeOutOfService takes the scheduler out of service. The readiness page then reports not ready, idle connections are
 // closed, and each further one after its response. Requests that arrive until the clients have noticed are served.
-func (l *Listener) Leave() { l.slots.setOutOfService(true) }
+func (l *Listener) TakeOutOfService() { l.slots.setOutOfService(true) }
 
-// Return puts the scheduler back into service.
-func (l *Listener) Return() { l.slots.setOutOfService(false) }
+// PutInService puts the scheduler back into service.
+func (l *Listener) PutInService() { l.slots.setOutOfService(false) }
--- a/internal/net/listener/listener_test.go
+++ b/internal/net/listener/listener_test.go
@@ -72,7 +72,7 @@
 	sendRequest(third)
 	sendRequest(fourth)
 	require.EqualValues(t, 2, l.Counts.Evicted.Load())
-	require.Zero(t, l.Counts.TurnedOff.Load())
+	require.Zero(t, l.Counts.RefusedNoSlot.Load())
 	require.NoError(t, served.Close())
 	require.NoError(t, silent.Close())
 	l.requireCloses(t, map[httpio.CloseReason]int{closedEvicted: 2})
@@ -107,7 +107,7 @@
 			require.Eventually(t, func() bool { return l.slotCount() == 5 }, 10*time.Second, time.Millisecond)
 		}
 	}
-	require.EqualValues(t, 2, l.Counts.Spared.Load())
+	require.EqualValues(t, 2, l.Counts.ClosedExcessIdle.Load())
 	l.requireCloses(t, map[httpio.CloseReason]int{closedExcessIdle: 2})
 }
 
--- a/internal/net/listener/parse.go
+++ b/internal/net/listener/parse.go
@@ -23,9 +23,9 @@
 			return nil, fmt.Errorf("%s stands there twice", name)
 		}
 	}
-	r := &core.Request{ID: h.Get("X-Txn"), Class: class, Tenant: h.Get("X-Org"), Slots: 1, Patience: settings.Patience,
-		Repeat: h.Get("X-Resent") == "1",
-		Job:    core.Job{Method: req.Method, Path: req.RequestURI, Key: h.Get("Idempotency-Key"), Type: h.Get("Content-Type")}}
+	r := &core.Request{ID: h.Get("X-Txn"), Class: class, Tenant: h.Get("X-Org"), Slots: 1, ClientTimeoutMS: settings.ClientTimeout,
+		MarkedRetry: h.Get("X-Resent") == "1",
+		Job:         core.Job{Method: req.Method, Path: req.RequestURI, Key: h.Get("Idempotency-Key"), Type: h.Get("Content-Type")}}
 	if !validID(r.ID) {
 		return nil, errors.New("X-Txn must be 1 to 128 letters, digits, '-', '_' or '.'")
 	}
@@ -36,7 +36,7 @@
 		return nil, errors.New("the path and query must be plain, with %XX for anything else")
 	case !visibleASCII(r.Job.Key) || len(r.Job.Key) > 256:
 		return nil, errors.New("Idempotency-Key must be up to 256 visible characters")
-	case settings.Keyed && r.Job.Key == "":
+	case settings.KeyRequired && r.Job.Key == "":
 		return nil, errors.New("jobs of this class need an Idempotency-Key")
 	case !visibleASCII(strings.ReplaceAll(r.Job.Type, " ", "")):
 		return nil, errors.New("Content-Type must be plain text")
@@ -49,14 +49,14 @@
 		if err != nil {
 			return nil, fmt.Errorf("X-Remaining: %w", err)
 		}
-		r.Patience = ms
+		r.ClientTimeoutMS = ms
 	}
 	if s := h.Get("X-Estimate"); s != "" {
 		us, err := strconv.ParseFloat(s, 64)
 		if err != nil || !(us >= 0 && us < 3.6e9) {
 			return nil, fmt.Errorf("X-Estimate: %q is not a number of microseconds", s)
 		}
-		r.Hint = us / 1000
+		r.ExpectedWorkMS = us / 1000
 	}
 	if err := parseLabels(h.Get("X-Labels"), r); err != nil {
 		return nil, fmt.Errorf("X-Labels: %w", err)
@@ -148,13 +148,13 @@
 	if err != nil {
 		return reply{status: http.StatusBadRequest, text: err.Error() + "\n"}
 	}
-	l.Core.News(news)
+	l.Core.ReceiveCallback(news)
 	return reply{status: http.StatusNoContent}
 }
 
 // targetNews converts a job event for the core. Package httpio has the table of outcomes.
-func (ev *jobEvent) targetNews() (core.TargetNews, error) {
-	news := core.TargetNews{ID: ev.ID, From: ev.From}
+func (ev *jobEvent) targetNews() (core.TargetCallback, error) {
+	news := core.TargetCallback{ID: ev.ID, From: ev.From}
 	if ev.Load != nil {
 		news.Report = httpio.Load(ev.Load)
 	}
--- a/internal/net/peers/peers.go
+++ b/internal/net/peers/peers.go
@@ -12,7 +12,7 @@
 	"net/netip"
 	"sync/atomic"
 
-	"cottonwell/internal/net/shared"
+	"cottonwell/internal/net/reuseport"
 )
 
 // MaxSize is the longest datagram that the platform allows, in bytes.
@@ -20,10 +20,10 @@
 
 // Config is the peer part of the configuration.
 type Config struct {
-	Listen string   // local address for receiving and sending
-	Peers  []string // the address of each scheduler, this one included, in the order of their numbers
-	All    string   // the address that reaches all schedulers
-	Shared bool     // another process of this scheduler may listen on the same address
+	Listen    string   // local address for receiving and sending
+	Peers     []string // the address of each scheduler, this one included, in the order of their numbers
+	Broadcast string   // the address that reaches all schedulers
+	Shared    bool     // another process of this scheduler may listen on the same address
 }
 
 // Link sends to the other schedulers and receives from them.
@@ -34,18 +34,18 @@
 	numbers   map[netip.AddrPort]int
 	addresses []netip.AddrPort // by number
 
-	Sent, Heard, Unreadable, Failed atomic.Int64
+	Sent, Received, Unreadable, Failed atomic.Int64
 }
 
 // Open binds the local address. It returns nil if the configuration has no local address or none for all
 // schedulers.
 func Open(cfg Config, log *slog.Logger) (*Link, error) {
-	if cfg.Listen == "" || cfg.All == "" {
+	if cfg.Listen == "" || cfg.Broadcast == "" {
 		return nil, nil
 	}
 	l := &Link{log: log, numbers: map[netip.AddrPort]int{}}
 	var err error
-	if l.broadcast, err = netip.ParseAddrPort(cfg.All); err != nil {
+	if l.broadcast, err = netip.ParseAddrPort(cfg.Broadcast); err != nil {
 		return nil, fmt.Errorf("peers_all: %w", err)
 	}
 	for i, s := range cfg.Peers {
@@ -61,7 +61,7 @@
 		return nil, fmt.Errorf("peer_listen: %w", err)
 	}
 	if cfg.Shared {
-		l.conn, err = shared.ListenPacket(cfg.Listen)
+		l.conn, err = reuseport.ListenPacket(cfg.Listen)
 	} else {
 		l.conn, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(local))
 	}
@@ -74,9 +74,9 @@
 // Addr returns the bound address.
 func (l *Link) Addr() net.Addr { return l.conn.LocalAddr() }
 
-// Tell sends raw to the schedulers with these numbers, or to all others if to is nil. A failed send counts as a
+// Send sends raw to the schedulers with these numbers, or to all others if to is nil. A failed send counts as a
 // lost datagram: a later message repeats its content.
-func (l *Link) Tell(to []int, raw string) {
+func (l *Link) Send(to []int, raw string) {
 	if len(raw) > MaxSize {
 		l.Failed.Add(1)
 		return
@@ -119,7 +119,7 @@
 			l.Unreadable.Add(1)
 			continue
 		}
-		l.Heard.Add(1)
+		l.Received.Add(1)
 		receive(sender, string(buf[:n]))
 	}
 }
--- a/internal/net/peers/peers_test.go
+++ b/internal/net/peers/peers_test.go
@@ -23,7 +23,7 @@
 	}
 	peer, stranger := bind(), bind()
 	l, err := Open(Config{Listen: "127.0.0.1:0", Peers: []string{"127.0.0.1:1", peer.LocalAddr().String()},
-		All: peer.LocalAddr().String()}, slog.New(slog.NewTextHandler(io.Discard, nil)))
+		Broadcast: peer.LocalAddr().String()}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	done, received := make(chan struct{}), make(chan string, 9)
@@ -40,10 +40,10 @@
 	require.NoError(t, err)
 	require.Equal(t, "1data", <-received)
 
-	l.Tell(nil, strings.Repeat("x", MaxSize+1))
-	l.Tell([]int{-1, 9}, "unknown") // numbers that no scheduler has
-	l.Tell([]int{}, "unknown")
-	l.Tell([]int{1}, "mine")
+	l.Send(nil, strings.Repeat("x", MaxSize+1))
+	l.Send([]int{-1, 9}, "unknown") // numbers that no scheduler has
+	l.Send([]int{}, "unknown")
+	l.Send([]int{1}, "mine")
 	buf := make([]byte, 999)
 	require.NoError(t, peer.SetReadDeadline(time.Now().Add(10*time.Second)))
 	n, from, err := peer.ReadFrom(buf)
@@ -56,7 +56,7 @@
 	l, err := Open(Config{Listen: "127.0.0.1:0"}, nil)
 	require.NoError(t, err)
 	require.Nil(t, l)
-	_, err = Open(Config{Listen: "127.0.0.1:0", All: "nowhere"}, nil)
+	_, err = Open(Config{Listen: "127.0.0.1:0", Broadcast: "nowhere"}, nil)
 	require.ErrorContains(t, err, "peers_all")
 }
 
@@ -73,7 +73,7 @@
 		long[i] = at
 	}
 	for name, peers := range map[string][]string{"empty": nil, "twice": {at, at}, "long": long, "without itself": {at}} {
-		l, err := Open(Config{Listen: "127.0.0.1:0", Peers: peers, All: at}, quiet)
+		l, err := Open(Config{Listen: "127.0.0.1:0", Peers: peers, Broadcast: at}, quiet)
 		require.NoError(t, err, name)
 		ctx, cancel := context.WithCancel(context.Background())
 		received, done := make(chan int, 1), make(chan struct{})
@@ -89,10 +89,10 @@
 		} else {
 			require.Eventually(t, func() bool { return l.Unreadable.Load() == 1 }, 10*time.Second, time.Millisecond, name)
 		}
-		l.Tell([]int{0, len(peers), 1 << 30}, "unknown")
+		l.Send([]int{0, len(peers), 1 << 30}, "unknown")
 		cancel()
 		<-done
 	}
-	_, err = Open(Config{Listen: "127.0.0.1:0", Peers: []string{at, "somewhere"}, All: at}, quiet)
+	_, err = Open(Config{Listen: "127.0.0.1:0", Peers: []string{at, "somewhere"}, Broadcast: at}, quiet)
 	require.ErrorContains(t, err, "peers: ")
 }
--- a/internal/net/shared/shared.go
+++ b/internal/net/reuseport/reuseport.go
@@ -1,7 +1,7 @@
-// Package shared opens listeners on addresses on which another process of the same scheduler may listen, too. It
+// Package reuseport opens listeners on addresses on which another process of the same scheduler may listen, too. It
 // is given an address and returns a socket with SO_REUSEPORT set. It helps to close such a listener with few lost
 // connections, and does not hand over open connections.
-package shared
+package reuseport
 
 import (
 	"context"
--- a/internal/net/shared/shared_test.go
+++ b/internal/net/reuseport/reuseport_test.go
@@ -1,4 +1,4 @@
-package shared
+package reuseport
 
 import (
 	"net"
--- a/internal/net/target/close.go
+++ b/internal/net/target/closereasons.go
@@ -23,7 +23,7 @@
 	t.Counts.Closes.Add(reason)
 	t.Log.Debug("connection closed", "target", c.RemoteAddr(), "reason", reason)
 	c.Close()
-	t.Sockets.Give()
+	t.Sockets.Release()
 }
 
 // closeReasonFor returns the reason to close a connection on which waiting for a response ended in err.
--- a/internal/net/target/pool.go
+++ b/internal/net/target/pool.go
@@ -49,7 +49,7 @@
 // acquire returns a connection to the target and its idle time in milliseconds. It prefers a usable connection that
 // has been idle for at least minIdleTime, and dials otherwise.
 func (t *Transport) acquire(target *targetState, address string) (conn *httpio.Conn, idleTime float64, err error) {
-	t.closeIdle(target, t.idleStats.limit(t.IdleFor*retireShare), closedIdle)
+	t.closeIdle(target, t.idleStats.limit(t.IdleTimeout*retireShare), closedIdle)
 	for {
 		x, ok := target.pool.takeLatest(t.Clock.Now() - minIdleTime)
 		if !ok {
@@ -62,13 +62,13 @@
 		t.Counts.Retired.Add(1)
 		t.discard(x.conn, closedStale)
 	}
-	if !t.Sockets.TryTake() && !t.evict() {
+	if !t.Sockets.TryAcquire() && !t.evict() {
 		return nil, neverIdle, errNoSocket
 	}
-	t.Counts.Dialled.Add(1)
-	nc, err := net.DialTimeout("tcp", address, clock.Duration(t.DialFor))
+	t.Counts.Dials.Add(1)
+	nc, err := net.DialTimeout("tcp", address, clock.Duration(t.DialTimeout))
 	if err != nil {
-		t.Sockets.Give()
+		t.Sockets.Release()
 		return nil, neverIdle, fmt.Errorf("%w: %w", errDial, err)
 	}
 	return t.Stack.Wrap(nc), neverIdle, nil
--- a/internal/net/target/target.go
+++ b/internal/net/target/target.go
@@ -23,7 +23,7 @@
 
 // Sink receives the outcomes of attempts and probes.
 type Sink interface {
-	Ended(core.Outcome)
+	AttemptEnded(core.Outcome)
 	ProbeEnded(core.ProbeResult)
 }
 
@@ -34,10 +34,10 @@
 	Stack   *httpio.Stack
 	Sink    Sink
 	Sockets *httpio.Budget
-	// DialFor is the timeout for establishing a connection, in milliseconds.
-	DialFor float64
-	// IdleFor is the time in milliseconds after which targets close idle connections.
-	IdleFor float64
+	// DialTimeout is the timeout for establishing a connection, in milliseconds.
+	DialTimeout float64
+	// IdleTimeout is the time in milliseconds after which targets close idle connections.
+	IdleTimeout float64
 	// Host is the service's name, sent in the Host header field.
 	Host string
 }
@@ -64,13 +64,13 @@
 	mu      sync.Mutex
 	targets map[string]*targetState
 	removed []string // names of targets that have left the list, in the order of leaving
-	running map[core.Ref]*attempt
+	running map[core.AttemptRef]*attempt
 }
 
 // Counts are the counters of a transport, for the log.
 type Counts struct {
-	Dialled, Reused, Retired, Deletes, Unheard atomic.Int64
-	Closes                                     httpio.Closes
+	Dials, Reused, Retired, Deletes, Unacknowledged atomic.Int64
+	Closes                                          httpio.Closes
 }
 
 // targetState is the state of one target. While unavailable is set, nothing new is sent to it.
@@ -84,19 +84,19 @@
 
 // New returns a transport without targets.
 func New(cfg Config) *Transport {
-	return &Transport{Config: cfg, targets: map[string]*targetState{}, running: map[core.Ref]*attempt{}}
+	return &Transport{Config: cfg, targets: map[string]*targetState{}, running: map[core.AttemptRef]*attempt{}}
 }
 
-// Waiting returns the number of attempts without any response from their target, not even a 202, plus the number
+// Pending returns the number of attempts without any response from their target, not even a 202, plus the number
 // of cancelled attempts whose end is not reported yet.
-func (t *Transport) Waiting() int {
+func (t *Transport) Pending() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.running)
 }
 
 // Listed implements core.Transport.
-func (t *Transport) Listed(group core.Group) {
+func (t *Transport) Listed(group core.TargetList) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	seen := map[string]bool{}
@@ -198,9 +198,9 @@
 
 // Start implements core.Transport.
 func (t *Transport) Start(a core.Attempt) {
-	running := &attempt{Attempt: a, readDone: make(chan struct{}), lateExchange: httpio.GivenUp}
+	running := &attempt{Attempt: a, readDone: make(chan struct{}), lateExchange: httpio.Cancelled}
 	t.mu.Lock()
-	t.running[a.Ref] = running
+	t.running[a.AttemptRef] = running
 	t.mu.Unlock()
 	go t.run(running)
 }
@@ -215,24 +215,24 @@
 		a.Job.Body.Release()
 	}
 	if exchange != "" { // after a 202, call-backs report the outcome
-		t.reportEnd(a.Ref, exchange, report)
+		t.reportEnd(a.AttemptRef, exchange, report)
 	}
 	if exchange != "" || !cancelled { // otherwise cancel reports the outcome
-		t.forget(a.Ref)
+		t.forget(a.AttemptRef)
 	}
 }
 
 // forget removes an attempt from those without a response.
-func (t *Transport) forget(r core.Ref) {
+func (t *Transport) forget(r core.AttemptRef) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.running, r)
 }
 
 // reportEnd reports the outcome of an exchange to the core.
-func (t *Transport) reportEnd(r core.Ref, exchange httpio.Exchange, report balance.Report) {
+func (t *Transport) reportEnd(r core.AttemptRef, exchange httpio.Exchange, report balance.Report) {
 	result, _ := httpio.Outcome(exchange)
-	t.Sink.Ended(core.Outcome{Ref: r, Result: result, Report: report})
+	t.Sink.AttemptEnded(core.Outcome{AttemptRef: r, Result: result, Report: report})
 }
 
 // exchange sends the request and waits for its 202, for which it returns "".
@@ -240,13 +240,13 @@
 	noReport := balance.Report{}
 	target, address := t.lookup(a.Target)
 	if target == nil {
-		return httpio.NotBegun, noReport
+		return httpio.NotStarted, noReport
 	}
 	for {
 		conn, idleTime, err := t.acquire(target, address)
 		if errors.Is(err, errNoSocket) {
 			t.Log.Warn("no socket left for an attempt", "target", a.Target)
-			return httpio.NotBegun, noReport
+			return httpio.NotStarted, noReport
 		}
 		if err != nil {
 			t.Log.Debug("connect", "target", a.Target, "cause", err)
@@ -254,9 +254,9 @@
 		}
 		// While the connection was established, the target may have begun to drain, the attempt may have been
 		// cancelled, or the time in which the request may be repeated may have ended.
-		if target.unavailable.Load() || a.Latest > 0 && t.Clock.Now() > a.Latest || !a.enterStage(writing, conn) {
+		if target.unavailable.Load() || a.SendBy > 0 && t.Clock.Now() > a.SendBy || !a.enterStage(writing, conn) {
 			t.release(target, conn, false)
-			return httpio.NotBegun, noReport
+			return httpio.NotStarted, noReport
 		}
 		buf := conn.Buffer()
 		head := httpio.Start(buf, a.Job.Method, " ", a.Job.Path, " HTTP/1.1").Field("Host", t.Host).
@@ -274,7 +274,7 @@
 			case missing == 0:
 				return httpio.BrokenAfter, noReport
 			case !a.enterStage(connecting, nil): // cancelled during the write; the target never received all of it
-				return httpio.NotBegun, noReport
+				return httpio.NotStarted, noReport
 			case idleTime >= 0:
 				// The target closed an idle connection as it was reused. It never received the last byte, so this
 				// was no attempt. A new connection shows whether the target is reachable.
@@ -330,7 +330,7 @@
 	}
 	go func() {
 		httpio.CloseGently(conn, t.Clock.Deadline(closeTimeout))
-		t.Sockets.Give()
+		t.Sockets.Release()
 	}()
 }
 
@@ -357,7 +357,7 @@
 // attempt that is not sent yet is not sent any more.
 func (t *Transport) Cancel(a core.Attempt) {
 	t.mu.Lock()
-	running := t.running[a.Ref]
+	running := t.running[a.AttemptRef]
 	t.mu.Unlock()
 	go t.cancel(a, running)
 }
@@ -365,45 +365,45 @@
 // cancel ends the attempt by the means that its stage needs: it stops one that is not sent, closes the connection of
 // one without a 202, and sends DELETE for an accepted job. An Unsent cancellation leaves what was sent alone.
 func (t *Transport) cancel(a core.Attempt, running *attempt) {
-	if !a.Unsent {
-		defer t.forget(a.Ref)
+	if !a.OnlyIfUnsent {
+		defer t.forget(a.AttemptRef)
 	}
 	if running != nil {
 		running.mu.Lock()
 		previous, conn := running.stage, running.conn
-		if previous == connecting || previous == writing && !a.Unsent {
+		if previous == connecting || previous == writing && !a.OnlyIfUnsent {
 			running.stage = abandoned
 		}
-		running.clientLeft = running.clientLeft || a.Unsent
+		running.clientLeft = running.clientLeft || a.OnlyIfUnsent
 		running.mu.Unlock()
 		switch previous {
 		case connecting:
-			t.reportEnd(a.Ref, httpio.GivenUp, balance.Report{})
+			t.reportEnd(a.AttemptRef, httpio.Cancelled, balance.Report{})
 			return
 		case writing:
-			if a.Unsent {
+			if a.OnlyIfUnsent {
 				return
 			}
 			exchange, report := t.closeAndWait(running, conn)
 			if exchange != "" {
-				t.reportEnd(a.Ref, exchange, report)
+				t.reportEnd(a.AttemptRef, exchange, report)
 				return
 			}
 		}
 	}
-	if a.Unsent {
+	if a.OnlyIfUnsent {
 		return
 	}
 	t.Counts.Deletes.Add(1)
 	for range maxDeleteTries {
 		if t.delete(a) {
-			t.reportEnd(a.Ref, httpio.GivenUp, balance.Report{})
+			t.reportEnd(a.AttemptRef, httpio.Cancelled, balance.Report{})
 			return
 		}
 	}
 	// The target has not acknowledged the cancellation. Until the core stops waiting, a further attempt would be a
 	// second copy of this one.
-	t.Counts.Unheard.Add(1)
+	t.Counts.Unacknowledged.Add(1)
 }
 
 // delete cancels an accepted job and reports whether the target acknowledged it.
--- a/internal/net/target/target_test.go
+++ b/internal/net/target/target_test.go
@@ -23,7 +23,7 @@
 	probed chan core.ProbeResult
 }
 
-func (s sink) Ended(o core.Outcome)          { s.ended <- o }
+func (s sink) AttemptEnded(o core.Outcome)   { s.ended <- o }
 func (s sink) ProbeEnded(r core.ProbeResult) { s.probed <- r }
 
 type fixture struct {
@@ -40,17 +40,17 @@
 	t.Cleanup(func() { ln.Close() })
 	b := &fixture{t: t, clock: clock.NewManual(1e6), ln: ln, sink: sink{make(chan core.Outcome, 9), make(chan core.ProbeResult, 9)}}
 	b.Transport = New(Config{Clock: b.clock, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Stack: httpio.NewStack(), Sink: b.sink,
-		Sockets: httpio.NewBudget(2), DialFor: 5000, IdleFor: 30000, Host: "x"})
+		Sockets: httpio.NewBudget(2), DialTimeout: 5000, IdleTimeout: 30000, Host: "x"})
 	b.list(balance.Ready)
 	return b
 }
 
 func (b *fixture) list(s balance.State) {
-	b.Listed(core.Group{Scope: balance.Changes, Targets: []core.Target{{Member: balance.Member{ID: "t", State: s}, Address: b.ln.Addr().String()}}})
+	b.Listed(core.TargetList{Scope: balance.Changes, Targets: []core.Target{{Member: balance.Member{ID: "t", State: s}, Address: b.ln.Addr().String()}}})
 }
 
 func (b *fixture) start(n int) core.Attempt {
-	a := core.Attempt{Ref: core.Ref{Flow: 1, N: n}, ID: "id", Target: "t", Job: core.Job{Method: "POST", Path: "/c"}, Deadline: 1e6 + 1000}
+	a := core.Attempt{AttemptRef: core.AttemptRef{Flow: 1, Index: n}, ID: "id", Target: "t", Job: core.Job{Method: "POST", Path: "/c"}, Deadline: 1e6 + 1000}
 	b.Start(a)
 	return a
 }
@@ -96,7 +96,7 @@
 	b.start(1)
 	c, _ = b.serve(nil)
 	b.accept202(c)
-	require.EqualValues(t, 2, b.Counts.Dialled.Load())
+	require.EqualValues(t, 2, b.Counts.Dials.Load())
 	require.Equal(t, map[httpio.CloseReason]int{closedStale: 1}, b.Counts.Closes.Counts())
 	require.Empty(t, b.sink.ended)
 }
@@ -188,7 +188,7 @@
 		require.Equal(t, "DELETE", req.Method)
 		c.Close()
 	}
-	require.Eventually(t, func() bool { return b.Counts.Unheard.Load() == 1 }, 10*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return b.Counts.Unacknowledged.Load() == 1 }, 10*time.Second, time.Millisecond)
 	require.Empty(t, b.sink.ended)
 }
 
@@ -202,8 +202,8 @@
 
 func TestExhaustedSocketBudgetIsNoTargetFailure(t *testing.T) {
 	b := newFixture(t)
-	require.True(t, b.Sockets.TryTake())
-	require.True(t, b.Sockets.TryTake())
+	require.True(t, b.Sockets.TryAcquire())
+	require.True(t, b.Sockets.TryAcquire())
 	b.start(0)
 	require.Equal(t, balance.NeverSent, (<-b.sink.ended).Result)
 }
@@ -264,7 +264,7 @@
 // for the first connection.
 func TestClientLeavesBetweenTwoConnections(t *testing.T) {
 	b := newFixture(t)
-	a := core.Attempt{Ref: core.Ref{Flow: 1}, Target: "t", Unsent: true}
+	a := core.Attempt{AttemptRef: core.AttemptRef{Flow: 1}, Target: "t", OnlyIfUnsent: true}
 	at := &attempt{Attempt: a}
 	require.True(t, at.enterStage(writing, nil))
 	b.cancel(a, at)
@@ -280,7 +280,7 @@
 // request is not sent, and the target receives no byte of it.
 func TestTooLateAsTheConnectionIsUp(t *testing.T) {
 	b := newFixture(t)
-	b.Start(core.Attempt{Ref: core.Ref{Flow: 1}, ID: "id", Target: "t", Job: core.Job{Method: "POST", Path: "/c"}, Deadline: 1e6 + 1000, Latest: 1e6 - 1})
+	b.Start(core.Attempt{AttemptRef: core.AttemptRef{Flow: 1}, ID: "id", Target: "t", Job: core.Job{Method: "POST", Path: "/c"}, Deadline: 1e6 + 1000, SendBy: 1e6 - 1})
 	require.Equal(t, balance.NeverSent, (<-b.sink.ended).Result)
 	c, err := b.ln.Accept()
 	require.NoError(t, err)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -250,7 +250,7 @@
 		return parseEvent(f, balance.Event{Kind: balance.Ended},
 			hasInstance|hasRequest|hasAttempt|hasRunner|hasEnding)
 	case "PROGRESS":
-		return parseEvent(f, balance.Event{Kind: balance.Noted},
+		return parseEvent(f, balance.Event{Kind: balance.Progressed},
 			hasInstance|hasRequest|hasAttempt|hasRunner|hasWhat)
 	case "FIRST_BYTE":
 		return parseEvent(f, balance.Event{Kind: balance.Streaming}, hasInstance|hasRequest|hasAttempt)
@@ -259,7 +259,7 @@
 	case "BELL":
 		return parseEvent(f, balance.Event{Kind: balance.TimerDue}, hasInstance|hasTimer)
 	case "HEARD":
-		return parseEvent(f, balance.Event{Kind: balance.PeerSpoke}, hasInstance|hasWho)
+		return parseEvent(f, balance.Event{Kind: balance.PeerLoads}, hasInstance|hasWho)
 	}
 	return Item{}, errors.New("unknown message")
 }
@@ -294,18 +294,18 @@
 			case "diff":
 				item.Event.List = balance.Changes
 			case "snapshot":
-				item.Event.List = balance.Whole
+				item.Event.List = balance.Complete
 			case "disk":
 				item.Event.List = balance.FromDisk
 			case "error":
-				item.Event.List = balance.AskFailed
+				item.Event.List = balance.RequestFailed
 			default:
 				f.fail("a known scope")
 			}
 		}
 	}
 	item.Event.Kind = balance.Listed
-	if item.Event.List != balance.AskFailed {
+	if item.Event.List != balance.RequestFailed {
 		return item, f.require(hasInstance | hasScope | hasBuffer)
 	}
 	return item, f.require(hasInstance | hasScope)
@@ -425,7 +425,7 @@
 		case "x":
 			event.Fraction = f.float()
 		case "who":
-			event.Who, f.present = int(f.int()), f.present|hasWho
+			event.Peer, f.present = int(f.int()), f.present|hasWho
 		case "raw":
 			if f.value != "-" {
 				raw, err := hex.DecodeString(f.value)
@@ -573,7 +573,7 @@
 	case balance.Subscribe:
 		w.beginLine("WATCH", instance)
 		w.intField("enable", 1)
-	case balance.Tell:
+	case balance.SendToPeers:
 		peers := []string{"*"}
 		if action.To != nil {
 			peers = peers[:0]
@@ -589,7 +589,7 @@
 			w.textField("peer", peer)
 			w.textField("raw", hex.EncodeToString([]byte(action.Raw)))
 		}
-	case balance.Say:
+	case balance.Log:
 		w.beginLine("LOG", instance)
 		w.textField("reason-text", oneLine(action.Text))
 	}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -68,18 +68,18 @@
 			{ID: "10.0.0.7:1", Zone: "z", Kind: "big", Cell: "4", Weight: 1.5, Started: 61 * us},
 			{ID: "10.0.0.8:1", State: balance.Draining, Weight: 1}}},
 		{Kind: List, Instance: 3, Buffer: 2, Event: balance.Event{Kind: balance.Listed, List: balance.Changes}},
-		{Kind: List, Instance: 3, Event: balance.Event{Kind: balance.Listed, List: balance.AskFailed}},
+		{Kind: List, Instance: 3, Event: balance.Event{Kind: balance.Listed, List: balance.RequestFailed}},
 		event(balance.Event{Kind: balance.Arrived, Request: 794656413225412, Class: "a", Tenant: "t", Key: "data/k", Budget: 240 * time.Millisecond,
 			Hint: 12 * time.Millisecond, Slots: 2, Repeat: true}),
 		event(balance.Event{Kind: balance.Ended, Request: 5, Attempt: 1, Worker: "10.0.0.7:1", Result: balance.Full,
 			Final: true, Elapsed: 70 * us, Report: balance.Report{Present: true, InFlight: 7, Waiting: 3, Free: 0.4}}),
-		event(balance.Event{Kind: balance.Noted, Request: 5, Attempt: 1, Worker: "10.0.0.7:1", Fraction: 0.5}),
-		event(balance.Event{Kind: balance.Noted, Request: 5, Attempt: 1, Worker: "10.0.0.7:1", Started: true}),
+		event(balance.Event{Kind: balance.Progressed, Request: 5, Attempt: 1, Worker: "10.0.0.7:1", Fraction: 0.5}),
+		event(balance.Event{Kind: balance.Progressed, Request: 5, Attempt: 1, Worker: "10.0.0.7:1", Started: true}),
 		event(balance.Event{Kind: balance.Departed, Request: 5}),
 		event(balance.Event{Kind: balance.TimerDue, Timer: 1<<63 - 1}),
 		event(balance.Event{Kind: balance.Probed, Worker: "10.0.0.7:1", Elapsed: us}),
 		event(balance.Event{Kind: balance.Streaming, Request: 5, Worker: "r", Elapsed: us}),
-		event(balance.Event{Kind: balance.PeerSpoke, Who: 1, Raw: "\n"}),
+		event(balance.Event{Kind: balance.PeerLoads, Peer: 1, Raw: "\n"}),
 		{Kind: Stop, Instance: 3, Event: balance.Event{Slots: 1}},
 		{Kind: Close}, {Kind: Open, Now: 8412251 * us, Seq: 13}, {Kind: Close},
 	}
@@ -100,14 +100,14 @@
 		!settings.ReportsFree || settings.ColdFrom != 0.44 || settings.Tick != 5*time.Millisecond {
 		t.Errorf("settings %+v", settings)
 	}
-	if settings.ExtraFree != 10 || settings.ExtraRatio != 0.1 || settings.ExtraWindow != 2*time.Second || !settings.FullMayHaveRun ||
-		settings.OrderRest != 50*time.Millisecond || !settings.MarksRepeat || settings.Prices.Fetch != 0.15 ||
+	if settings.RetryBudgetFree != 10 || settings.RetryBudgetRatio != 0.1 || settings.RetryBudgetWindow != 2*time.Second || !settings.FullMayHaveRun ||
+		settings.KeyPause != 50*time.Millisecond || !settings.ClientsMarkRetries || settings.Prices.Fetch != 0.15 ||
 		!settings.Classes[1].InOrder || settings.Classes[0].InOrder {
 		t.Errorf("further rules or tenants: %+v", settings)
 	}
 	keyedClass := settings.Classes[1]
 	if keyedClass.Effect != balance.Keyed || keyedClass.Scope != balance.ScopeZone || keyedClass.Window != 7500*time.Millisecond ||
-		keyedClass.Stretch != 1.75 || keyedClass.Kind != "small" || settings.Classes[0].Kind != "" || settings.Classes[0].Worth != 12 {
+		keyedClass.Stretch != 1.75 || keyedClass.Kind != "small" || settings.Classes[0].Kind != "" || settings.Classes[0].Value != 12 {
 		t.Errorf("classes %+v", settings.Classes)
 	}
 }
@@ -147,8 +147,8 @@
 		{Kind: balance.Refuse, Request: 1, After: 250 * us}, {Kind: balance.Refuse, Request: 1},
 		{Kind: balance.Fail, Request: 1}, {Kind: balance.Cancel, Request: 1, Attempt: 2},
 		{Kind: balance.Wake, After: 500 * us, Timer: 77}, {Kind: balance.Probe, Worker: "r"},
-		{Kind: balance.Subscribe}, {Kind: balance.Say, Text: "two\nlines"}, {Kind: balance.Tell, Raw: "\x01\xff"},
-		{Kind: balance.Tell, Raw: "\x02", To: []int{4, 7}},
+		{Kind: balance.Subscribe}, {Kind: balance.Log, Text: "two\nlines"}, {Kind: balance.SendToPeers, Raw: "\x01\xff"},
+		{Kind: balance.SendToPeers, Raw: "\x02", To: []int{4, 7}},
 	} {
 		writer.Action(3, &action)
 	}
