--- a/balance/api.go
+++ b/balance/api.go
@@ -45,11 +45,11 @@
 	Effect        Effect
 	Scope         Scope         // for Keyed
 	Window        time.Duration // for Keyed: how long workers remember a request and drop its repeats
-	LatencyTarget time.Duration // the latency target is Aim + Stretch x the time that the request's own work takes
+	LatencyTarget time.Duration // fixed part of the latency target; Stretch x the time of the request's own work is added
 	Stretch       float64
 	Deadline      time.Duration // client timeout over all tries
 	Value         float64       // value of a response within the latency target
-	LateShare     float64       // share of Worth that a response after the latency target still earns
+	LateShare     float64       // share of Value that a response after the latency target still earns
 	Kind          string        // machine kind required, or empty
 	Stream        bool          // the response is streamed
 	InOrder       bool          // requests of one key run one at a time, in the order in which they were accepted
@@ -71,7 +71,7 @@
 	Zone               string // zone of this dispatcher
 	Classes            []Class
 	Tick               time.Duration // time resolution of the host
-	ByWork             bool          // Worth counts for each unit of work
+	ByWork             bool          // Value counts for each unit of work
 	ReportsFree        bool          // reports carry the number of free slots
 	ReportsStart       bool          // workers report the start of a job
 	ProgressEvery      time.Duration // interval of progress reports; 0 for none
@@ -93,7 +93,7 @@
 	ColdFor            time.Duration // time after its start at which a worker is warm at the latest
 	DrainGrace         time.Duration
 	CollapseMultiple   float64       // a cold worker that is sent this multiple of its capacity collapses
-	CollapseWindow     time.Duration // window over which FallMultiple is measured
+	CollapseWindow     time.Duration // window over which CollapseMultiple is measured
 	ClientsMarkRetries bool          // clients mark their later tries
 	KeyPause           time.Duration // InOrder: pause of a key after an attempt that may still run
 	RetryBudgetFree    float64       // attempts beyond each request's first that are allowed in a window
@@ -104,7 +104,7 @@
 	BeyondShareValue   float64       // share of its value that a request beyond its tenant's share keeps
 }
 
-// isolated reports whether there are other dispatchers whose load this one receives no messages about.
+// isolated reports whether there are other dispatchers and no messages between them about their load.
 func (s *Settings) isolated() bool { return !s.Peers && s.Fleet > 1 }
 
 // Tenant has a share of the requests that the fleet serves.
@@ -120,18 +120,18 @@
 		return fmt.Errorf("balance: impossible settings: dispatcher %d of %d, %d attempts allowed, %d classes",
 			s.Self, s.Fleet, s.MaxAttempts, len(s.Classes))
 	case !(s.ColdFrom > 0 && s.ColdFrom <= 1 && s.CollapseMultiple > 0) || min(s.ColdFor, s.CollapseWindow) < 0:
-		return fmt.Errorf("balance: impossible settings for cold workers: ColdFrom %g, ColdFor %v, FallMultiple %g, FallWindow %v",
+		return fmt.Errorf("balance: impossible settings for cold workers: ColdFrom %g, ColdFor %v, CollapseMultiple %g, CollapseWindow %v",
 			s.ColdFrom, s.ColdFor, s.CollapseMultiple, s.CollapseWindow)
 	case min(s.Tick, s.ResponseSlack, s.MaxQueryInterval, s.DrainGrace) < 0:
-		return fmt.Errorf("balance: negative duration: Tick %v, AnswerSlack %v, AskWithin %v, DrainGrace %v",
+		return fmt.Errorf("balance: negative duration: Tick %v, ResponseSlack %v, MaxQueryInterval %v, DrainGrace %v",
 			s.Tick, s.ResponseSlack, s.MaxQueryInterval, s.DrainGrace)
 	case !(s.RetryBudgetFree >= 0 && s.RetryBudgetRatio >= 0) || s.RetryBudgetWindow < 0:
-		return fmt.Errorf("balance: impossible budget of further attempts: ExtraFree %g, ExtraRatio %g, ExtraWindow %v",
+		return fmt.Errorf("balance: impossible budget of further attempts: RetryBudgetFree %g, RetryBudgetRatio %g, RetryBudgetWindow %v",
 			s.RetryBudgetFree, s.RetryBudgetRatio, s.RetryBudgetWindow)
 	case !(s.BeyondShareValue >= 0):
-		return fmt.Errorf("balance: impossible BeyondWorth %g", s.BeyondShareValue)
+		return fmt.Errorf("balance: impossible BeyondShareValue %g", s.BeyondShareValue)
 	case s.KeyPause < 0:
-		return fmt.Errorf("balance: negative OrderRest %v", s.KeyPause)
+		return fmt.Errorf("balance: negative KeyPause %v", s.KeyPause)
 	}
 	for i, c := range s.Classes {
 		if min(c.LatencyTarget, c.Window, c.Deadline-1) < 0 || !(c.Value >= 0 && c.Stretch >= 0) ||
@@ -148,19 +148,19 @@
 // The kinds of events, with the fields that each uses.
 const (
 	Arrived       EventKind = iota // a request arrived: Request, Class, Key, Budget, Hint, Slots, Repeat
-	Departed                       // the client left or its time is over: Request
+	Departed                       // the client left or its deadline passed: Request
 	Ended                          // an attempt ended: Request, Attempt, Worker, Result, Final, Elapsed, Report
 	Progressed                     // an attempt reported progress: Request, Attempt, Worker, Started or Fraction
 	Streaming                      // a streamed response has begun: Request, Attempt, Worker
 	Listed                         // the worker list: List, Members
 	Probed                         // the response to a probe: Worker, Result, Elapsed, Report
 	TimerDue                       // a timer fired: Timer
-	PeerLoads                      // another dispatcher announced its load: Who, Loads
-	Reserved                       // capacity of a worker was reserved, or released if Keep is nil: Worker, Request, Keep
+	PeerLoads                      // another dispatcher announced its load: Peer, Loads
+	Reserved                       // capacity of a worker was reserved, or released if Reservation is nil: Worker, Request, Reservation
 	WorkerEjected                  // a decision for all schedulers: Worker gets no jobs for Elapsed; 0: it may be tried
-	RulesChanged                   // the limits that the schedulers agreed on: Caps, Cold
+	RulesChanged                   // the limits that the schedulers agreed on: MaxAttempts, ColdFactor
 	PeerGotList                    // discovery recently sent a response to another dispatcher
-	TenantShares                   // a decision for all schedulers, valid for Elapsed: Parts of demand within the tenants' shares
+	TenantShares                   // a decision for all schedulers, valid for Elapsed: TenantParts of demand within the tenants' shares
 )
 
 // Result is the outcome of an attempt or a probe.
@@ -231,7 +231,7 @@
 	Request       uint64                   // the request that it is for; 0: a request of another dispatcher
 	SpareSlots    float64                  // slots that other requests may take without touching the reservation
 	BackfillSlots float64                  // slots of the largest request that ends before the reservation starts
-	BackfillUntil map[string]time.Duration // by class: latest time to send a request of up to Most slots
+	BackfillUntil map[string]time.Duration // by class: latest time to send a request of up to BackfillSlots
 }
 
 // Event is one thing that happened. Kind determines which fields are used.
@@ -264,7 +264,7 @@
 	Reservation *Reservation       // nil: the reservation is released
 	Tenant      string
 	TenantParts map[string]float64 // by tenant; a tenant without an entry: all of it
-	MaxAttempts map[string]int     // by class: attempts of a request; no entry: MaxAttempts applies
+	MaxAttempts map[string]int     // by class: attempts of a request; no entry: Settings.MaxAttempts applies
 	ColdFactor  float64            // part of the load that the settings allow for a cold worker
 	Memory      float64            // units of memory that the request needs; 0 if unknown
 }
--- a/balance/coldstart_test.go
+++ b/balance/coldstart_test.go
@@ -61,17 +61,17 @@
 			}
 		}
 		for ; now < time.Hour+10*time.Second; now += 5 * ms {
-			for who := int(now/(5*ms)) % 8; c.peers && who < dispatchers; who += 8 { // each sends every 40 ms
+			for dispatcher := int(now/(5*ms)) % 8; c.peers && dispatcher < dispatchers; dispatcher += 8 { // each sends every 40 ms
 				for i, h := range harnesses {
-					if h.now = now; i != who && rng.IntN(5) > 0 && announced[who] != nil {
-						recordSends(h, h.step(Event{Kind: PeerLoads, Peer: who, Loads: announced[who]}))
+					if h.now = now; i != dispatcher && rng.IntN(5) > 0 && announced[dispatcher] != nil {
+						recordSends(h, h.step(Event{Kind: PeerLoads, Peer: dispatcher, Loads: announced[dispatcher]}))
 					}
 				}
-				announced[who] = nil
+				announced[dispatcher] = nil
 			}
-			for who := (int(now/(5*ms)) + 6) % 8; c.peers && who < dispatchers; who += 8 { // delivered 30 ms later
-				announced[who] = map[string]float64{}
-				harnesses[who].balancer.InFlight(func(w string, slots float64) { announced[who][w] = slots })
+			for dispatcher := (int(now/(5*ms)) + 6) % 8; c.peers && dispatcher < dispatchers; dispatcher += 8 { // delivered 30 ms later
+				announced[dispatcher] = map[string]float64{}
+				harnesses[dispatcher].balancer.InFlight(func(w string, slots float64) { announced[dispatcher][w] = slots })
 			}
 			var due []runningJob
 			running = slices.DeleteFunc(running, func(r runningJob) bool {
--- a/balance/discovery.go
+++ b/balance/discovery.go
@@ -67,7 +67,7 @@
 }
 
 // failed records that a query failed or its watch ended, and returns the wait before the next query. If
-// AskWithin is 0, discovery is an agent on this machine and is queried again soon.
+// MaxQueryInterval is 0, discovery is an agent on this machine and is queried again soon.
 func (p *discoveryPacer) failed(now time.Duration, s *Settings, rng *rand.Rand) time.Duration {
 	wait := p.retryDelay(s, rng)
 	if p.listReceived {
--- a/balance/discovery_test.go
+++ b/balance/discovery_test.go
@@ -8,9 +8,9 @@
 
 // newSubscriber returns a dispatcher that queries discovery for its list, and its first query. The query is nil if it
 // sent none at its start.
-func newSubscriber(t *testing.T, seed uint64, within time.Duration) (*Balancer, *Action) {
+func newSubscriber(t *testing.T, seed uint64, maxQueryInterval time.Duration) (*Balancer, *Action) {
 	s := baseSettings()
-	s.Subscribe, s.MaxQueryInterval = true, within
+	s.Subscribe, s.MaxQueryInterval = true, maxQueryInterval
 	b, err := New(s, seed)
 	if err != nil {
 		t.Fatal(err)
@@ -21,7 +21,7 @@
 // A dispatcher queries again after an error, but never while a query is outstanding. After an open watch ended it
 // queries soon. After a failed query it waits until the others are likely to have their responses.
 //
-// The rules allow a dispatcher whose query failed to be without new information for four times AskWithin. The wait
+// The rules allow a dispatcher whose query failed to be without new information for four times MaxQueryInterval. The wait
 // stays within half of that.
 func TestAsksAgainAfterError(t *testing.T) {
 	b, query := newSubscriber(t, 3, 2*time.Second)
@@ -200,7 +200,7 @@
 	}
 }
 
-// If AskWithin is 0, discovery is an agent on this machine and a query costs nothing. The dispatcher then queries
+// If MaxQueryInterval is 0, discovery is an agent on this machine and a query costs nothing. The dispatcher then queries
 // again soon however often the agent did not respond, as the list counts from the moment of the agent's return.
 func TestAsksAnAgentAgainSoon(t *testing.T) {
 	s := baseSettings()
--- a/balance/request.go
+++ b/balance/request.go
@@ -58,7 +58,8 @@
 	if r.hint > 0 && c.hintSeconds > 0 {
 		r.work *= c.workSeconds / c.hintSeconds
 	}
-	r.onTimeStartBy = min(r.respondBy, r.firstTryAt+c.LatencyTarget+seconds(max(0, c.Stretch-b.slowdown())*r.work))
+	r.onTimeStartBy = min(r.respondBy,
+		r.firstTryAt+c.LatencyTarget+seconds(max(0, c.Stretch-b.slowdown())*r.work))
 	if r.usefulStartBy = r.onTimeStartBy; c.LateShare > 0 {
 		r.usefulStartBy = r.respondBy
 	}
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -529,13 +529,13 @@
 		s.step(Event{Kind: PeerLoads})
 		s.step(Event{Kind: Reserved, Worker: "unknown", Request: 1 << 50, Reservation: &Reservation{Request: 1 << 50}})
 	case n < 84 && len(s.checker.openIDs) > 0 && s.rng.IntN(3) > 0: // reservations made and released, valid or not
-		keep := &Reservation{Request: s.checker.openIDs[s.rng.IntN(len(s.checker.openIDs))], SpareSlots: float64(s.rng.IntN(3)), BackfillSlots: 1}
+		reservation := &Reservation{Request: s.checker.openIDs[s.rng.IntN(len(s.checker.openIDs))], SpareSlots: float64(s.rng.IntN(3)), BackfillSlots: 1}
 		for _, id := range slices.Sorted(maps.Keys(s.checker.workers)) {
 			if s.rng.IntN(4) == 0 {
 				if s.rng.IntN(2) == 0 {
-					keep = nil
+					reservation = nil
 				}
-				s.step(Event{Kind: Reserved, Worker: id, Request: s.checker.openIDs[0], Reservation: keep})
+				s.step(Event{Kind: Reserved, Worker: id, Request: s.checker.openIDs[0], Reservation: reservation})
 			}
 		}
 	case n < 83 && s.rng.IntN(6) == 0:
--- a/internal/backfill/api.go
+++ b/internal/backfill/api.go
@@ -77,15 +77,15 @@
 	}
 	switch {
 	case c.Fleet < 1 || c.Self < 0 || c.Self >= c.Fleet:
-		return fmt.Errorf("room: scheduler %d is not in a fleet of %d", c.Self, c.Fleet)
+		return fmt.Errorf("backfill: scheduler %d is not in a fleet of %d", c.Self, c.Fleet)
 	case len(c.Classes) == 0 || len(c.Classes) > 64:
-		return fmt.Errorf("room: %d classes, and may be 1 to 64", len(c.Classes))
+		return fmt.Errorf("backfill: %d classes, and may be 1 to 64", len(c.Classes))
 	case c.Mode < Backfill || c.Mode > Emptying:
-		return fmt.Errorf("room: unknown mode %d", c.Mode)
+		return fmt.Errorf("backfill: unknown mode %d", c.Mode)
 	}
 	for i, name := range c.Classes {
 		if slices.Contains(c.Classes[:i], name) {
-			return fmt.Errorf("room: class %q is listed twice", name)
+			return fmt.Errorf("backfill: class %q is listed twice", name)
 		}
 	}
 	return nil
--- a/internal/backfill/planner.go
+++ b/internal/backfill/planner.go
@@ -22,7 +22,7 @@
 	trialDuration      = 800    // ms at the start of each trial period in which nothing is reserved
 	trialSettleTime    = 300    // ms from the start of a trial; flows that arrive in it are not part of the sample
 	scaleIncrement     = 0.025  // added to the scale in one adjustment
-	maxDropRatio       = 2.0    // multiple of SmallDrop from which the scale falls without a trial
+	maxDropRatio       = 2.0    // multiple of MaxSmallUnserved from which the scale falls without a trial
 	shrinkFactor       = 0.5    // applied to the scale in one adjustment
 	quantileGain       = 0.02   // step of the backfill quantile for each backfilled job that ended too late
 	minScale           = 0.05   // lower limit of the scale
--- a/internal/backfill/planner_test.go
+++ b/internal/backfill/planner_test.go
@@ -453,8 +453,8 @@
 			h.handle(Event{Kind: AttemptEnded, Flow: id})
 			h.handle(Event{Kind: FlowDone, Flow: id})
 		}
-		for who := range 3 {
-			h.handle(Event{Kind: PeerReserved, Peer: who})
+		for peer := range 3 {
+			h.handle(Event{Kind: PeerReserved, Peer: peer})
 		}
 		for i := range 8 {
 			h.handle(Event{Kind: TargetDown, Target: fmt.Sprintf("t%d", i)})
--- a/internal/core/accept.go
+++ b/internal/core/accept.go
@@ -9,7 +9,7 @@
 	deadline    float64 // when the client timeout ends
 	attempts    []attempt
 	outstanding int  // index of the attempt that is outstanding, or -1
-	answered    bool // it has its final response, or its client left
+	clientDone  bool // it has its final response, or its client left
 }
 
 // attempt is one dispatch of a flow to a target.
@@ -55,7 +55,7 @@
 
 func (e clientLeftEvent) apply(c *Core) {
 	f := c.flowsByID[e.request.ID]
-	if f == nil || f.answered || f.Receiver != e.request.Receiver {
+	if f == nil || f.clientDone || f.Receiver != e.request.Receiver {
 		return // the final response was sent before this event was handled
 	}
 	c.stats.ClientsLeft++
--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -13,7 +13,7 @@
 	"cottonwell/internal/invariant"
 )
 
-// nullTransport is a transport and a listener at almost no cost. It only records started attempts.
+// nullTransport is a transport and a response receiver at almost no cost. It only records started attempts.
 type nullTransport struct{ started []Attempt }
 
 func (q *nullTransport) Start(a Attempt)   { q.started = append(q.started, a) }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -29,10 +29,11 @@
 	SendToPeers func(to []int, raw string)
 	// Planner configures the reservation planner; nil if disabled.
 	Planner *backfill.Config
-	// ReportSuspicion, Probed and Listed report to the fleet's examiner of targets: the targets that this scheduler suspects and no
-	// longer selects, the results of probes, and the listed targets. They are nil if disabled.
+	// ReportSuspicion, ReportProbe and ReportTargets report to the fleet's examiner of targets: the targets that this
+	// scheduler suspects and no longer selects, whether a target responded to a probe, and the listed targets. They are
+	// nil if disabled.
 	ReportSuspicion func(target string, failing bool)
-	ReportProbe     func(target string, answered bool)
+	ReportProbe     func(target string, responded bool)
 	ReportTargets   func(targets []Target)
 	// CountRequest counts a request of a tenant for the fleet-wide total. It is not called for retries of a client. It is nil if
 	// disabled.
@@ -78,7 +79,7 @@
 	idleWaiters    []chan struct{}    // each is closed once no flow is open
 	longestTimeout map[string]float64 // longest client timeout seen, in milliseconds, by class
 	classes        map[string]*balance.Class
-	// shuttingDown is set by Finish. New requests are refused from then on.
+	// shuttingDown is set by EndOpenFlows. New requests are refused from then on.
 	shuttingDown bool
 	listReady    chan struct{} // closed once the list may be used
 	activeRules
@@ -131,9 +132,9 @@
 	defer close(c.done)
 	alarm := c.clock.NewAlarm()
 	defer alarm.Stop()
-	for name, g := range c.cfg.StoredLists {
-		g.Scope = balance.FromDisk
-		listEvent{name, g}.apply(c)
+	for name, list := range c.cfg.StoredLists {
+		list.Scope = balance.FromDisk
+		listEvent{name, list}.apply(c)
 		c.route()
 	}
 	for {
@@ -176,11 +177,11 @@
 }
 
 // UpdateTargets passes a list of targets, or changes to it, from the named source.
-func (c *Core) UpdateTargets(sourceName string, g TargetList) { c.post(listEvent{sourceName, g}) }
+func (c *Core) UpdateTargets(sourceName string, list TargetList) { c.post(listEvent{sourceName, list}) }
 
 type listEvent struct {
 	source string
-	group  TargetList
+	list   TargetList
 }
 
 func (e listEvent) apply(c *Core) {
@@ -189,21 +190,21 @@
 		c.countDropped("list from an unknown source")
 		return
 	}
-	if e.group.Scope == balance.RequestFailed {
+	if e.list.Scope == balance.RequestFailed {
 		c.stats.ListFailures++
 		c.enqueue(balance.Event{Kind: balance.Listed, List: balance.RequestFailed})
 		c.watchLost(s)
 		return
 	}
 	c.stats.Lists++
-	if e.group.Scope != balance.Changes {
+	if e.list.Scope != balance.Changes {
 		for id := range s.targets {
 			delete(c.sourceByTarget, id)
 		}
 		clear(s.targets)
 	}
-	for i := range e.group.Targets {
-		t := &e.group.Targets[i]
+	for i := range e.list.Targets {
+		t := &e.list.Targets[i]
 		t.Started = clock.Duration(t.StartedMS)
 		if t.State == balance.Gone {
 			delete(s.targets, t.ID)
@@ -213,12 +214,12 @@
 			c.sourceByTarget[t.ID] = s
 		}
 	}
-	changed := c.updateLeaseList(s, &e.group)
-	ev := balance.Event{Kind: balance.Listed, List: e.group.Scope}
-	for _, t := range e.group.Targets {
+	changed := c.updateLeaseList(s, &e.list)
+	ev := balance.Event{Kind: balance.Listed, List: e.list.Scope}
+	for _, t := range e.list.Targets {
 		ev.Members = append(ev.Members, c.memberOf(t))
 	}
-	if e.group.Scope != balance.Changes {
+	if e.list.Scope != balance.Changes {
 		// The decision module treats a whole list as the list of all sources, so the other sources' targets are added.
 		for _, other := range c.sources {
 			if other == s {
@@ -229,7 +230,7 @@
 			}
 		}
 	}
-	s.Transport.Listed(c.applyMaintenance(e.group))
+	s.Transport.Listed(c.applyMaintenance(e.list))
 	c.enqueue(ev)
 	c.afterLeaseEvent(s, changed)
 	if c.cfg.ReportTargets != nil {
@@ -258,11 +259,11 @@
 }
 
 // ProbeEnded passes the result of a probe.
-func (c *Core) ProbeEnded(r ProbeResult) { c.post(probeEvent{r}) }
+func (c *Core) ProbeEnded(r ProbeResult) { c.post(probeEndedEvent{r}) }
 
-type probeEvent struct{ result ProbeResult }
+type probeEndedEvent struct{ result ProbeResult }
 
-func (e probeEvent) apply(c *Core) {
+func (e probeEndedEvent) apply(c *Core) {
 	c.stats.ProbesEnded++
 	c.enqueue(balance.Event{Kind: balance.Probed, Worker: e.result.Target, Result: e.result.Result,
 		Elapsed: clock.Duration(e.result.Elapsed), Report: e.result.Report})
@@ -273,11 +274,11 @@
 }
 
 // Probe probes a target for the fleet's examiner. A target that is no longer listed is not probed.
-func (c *Core) Probe(target string) { c.post(examineEvent(target)) }
+func (c *Core) Probe(target string) { c.post(probeRequestEvent(target)) }
 
-type examineEvent string
+type probeRequestEvent string
 
-func (e examineEvent) apply(c *Core) {
+func (e probeRequestEvent) apply(c *Core) {
 	c.probe(string(e))
 }
 
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -17,7 +17,7 @@
 	"cottonwell/internal/invariant"
 )
 
-// harness runs a core on a manual clock and is its transport and its listener. It only records the calls. The core's
+// harness runs a core on a manual clock and is its transport and its response receiver. It only records the calls. The core's
 // goroutine is not started: the test applies events one by one.
 type harness struct {
 	t         *testing.T
@@ -146,7 +146,7 @@
 	require.False(t, h.core.mayHaveRun(&f.attempts[0]))
 	require.True(t, math.IsInf(h.core.latestStart(f, 1), 1))
 	h.core.pendingEvents = nil
-	finishEvent{}.apply(h.core)
+	endOpenFlowsEvent{}.apply(h.core)
 	require.Equal(t, []Response{{Kind: Refused, RetryAfter: 1000, Reason: shutdownReason}}, h.answers)
 }
 
@@ -250,14 +250,14 @@
 	h.core.perform(&balance.Action{Kind: balance.SuspectWorker, Worker: "a", Failing: true})
 	require.Equal(t, []string{"atrue"}, suspected)
 	var probed []string
-	h.core.cfg.ReportProbe = func(target string, answered bool) { probed = append(probed, fmt.Sprint(target, answered)) }
+	h.core.cfg.ReportProbe = func(target string, responded bool) { probed = append(probed, fmt.Sprint(target, responded)) }
 	h.apply(probeOf("a", balance.OK))
 	h.apply(probeOf("b", balance.TimedOut))
 	require.Equal(t, []string{"atrue", "bfalse"}, probed)
 }
 
 func probeOf(target string, res balance.Result) event {
-	return probeEvent{ProbeResult{Target: target, Result: res}}
+	return probeEndedEvent{ProbeResult{Target: target, Result: res}}
 }
 
 // A tenant's request is counted once. Retries, recognized by a shorter client timeout, are not counted.
@@ -320,14 +320,14 @@
 	require.Equal(t, 1000.0, h.core.defaultRetryAfter(999))
 }
 
-// At shutdown a request can arrive after Finish has ended the open flows. Nothing would end its flow later, so it is refused
+// At shutdown a request can arrive after EndOpenFlows has ended the open flows. Nothing would end its flow later, so it is refused
 // at once and not dispatched.
 func TestWhatComesAfterTheLastAnswersIsRefused(t *testing.T) {
 	h := newHarness(t, 1)
 	h.accept("x", "k")
 	h.accept("y", "c")
 	sent := len(h.started)
-	h.apply(finishEvent{})
+	h.apply(endOpenFlowsEvent{})
 	require.Len(t, h.answers, 2)
 	require.Contains(t, h.answers, Response{Kind: Failed, Reason: shutdownReason}, "it may have run")
 	h.accept("z", "c")
--- a/internal/core/deliver.go
+++ b/internal/core/deliver.go
@@ -20,32 +20,32 @@
 }
 
 // ReceiveCallback passes a callback of a target.
-func (c *Core) ReceiveCallback(n TargetCallback) { c.post(targetUpdateEvent{n}) }
+func (c *Core) ReceiveCallback(callback TargetCallback) { c.post(targetUpdateEvent{callback}) }
 
-type targetUpdateEvent struct{ update TargetCallback }
+type targetUpdateEvent struct{ callback TargetCallback }
 
 func (e targetUpdateEvent) apply(c *Core) {
-	f := c.flowsByID[e.update.ID]
-	if f == nil && c.cfg.ForwardUnmatched != nil && !e.update.PassedOn {
-		c.cfg.ForwardUnmatched(e.update)
+	f := c.flowsByID[e.callback.ID]
+	if f == nil && c.cfg.ForwardUnmatched != nil && !e.callback.PassedOn {
+		c.cfg.ForwardUnmatched(e.callback)
 		return
 	}
-	if f == nil || f.outstanding < 0 || f.attempts[f.outstanding].target != e.update.From {
+	if f == nil || f.outstanding < 0 || f.attempts[f.outstanding].target != e.callback.From {
 		c.countDropped("news of an attempt that is over")
 		return
 	}
 	n := f.outstanding
-	if p := e.update.Progress; p != nil {
+	if p := e.callback.Progress; p != nil {
 		if p.Data == "" {
-			c.enqueue(balance.Event{Kind: balance.Progressed, Request: f.number, Attempt: n, Worker: e.update.From,
+			c.enqueue(balance.Event{Kind: balance.Progressed, Request: f.number, Attempt: n, Worker: e.callback.From,
 				Started: p.Started, Fraction: p.Fraction})
 		}
-		if !f.answered {
+		if !f.clientDone {
 			f.Receiver.Progress(*p)
 		}
 		return
 	}
-	if e.update.Result != balance.OK && f.mayConfuseAttempts(n) {
+	if e.callback.Result != balance.OK && f.mayConfuseAttempts(n) {
 		// The callback may belong to an earlier attempt at this target, which ended here without a confirmation of the
 		// target. If it were assigned to the current attempt, a further attempt would run in parallel. So the current
 		// attempt is cancelled first.
@@ -53,7 +53,7 @@
 		c.cancel(AttemptRef{f.number, n}, ambiguousEnd)
 		return
 	}
-	c.endAttempt(f, n, Outcome{AttemptRef: AttemptRef{f.number, n}, Result: e.update.Result, Report: e.update.Report, Body: e.update.Body})
+	c.endAttempt(f, n, Outcome{AttemptRef: AttemptRef{f.number, n}, Result: e.callback.Result, Report: e.callback.Report, Body: e.callback.Body})
 }
 
 // mayConfuseAttempts reports whether an earlier attempt at the target of attempt n ended without a confirmation of the
@@ -76,24 +76,24 @@
 	}
 	c.stats.countOutcome(o.Result)
 	c.trace.attemptEnded(f, n)
-	if o.Result == balance.OK && !f.answered {
+	if o.Result == balance.OK && !f.clientDone {
 		c.deliver(f, Response{Kind: Served, Body: o.Body})
 	}
 	c.enqueue(balance.Event{Kind: balance.Ended, Request: f.number, Attempt: n, Worker: a.target, Result: o.Result,
-		Final: f.answered, Elapsed: clock.Duration(a.endedAt - a.sentAt), Report: o.Report})
+		Final: f.clientDone, Elapsed: clock.Duration(a.endedAt - a.sentAt), Report: o.Report})
 	c.removeIfDone(f)
 }
 
 // deliverFixed delivers the fixed response that the decision module chose. It does nothing if the flow is over.
 func (c *Core) deliverFixed(number uint64, response Response) {
-	if f := c.flows[number]; f != nil && !f.answered {
+	if f := c.flows[number]; f != nil && !f.clientDone {
 		c.deliver(f, response)
 	}
 }
 
 // deliver sends a flow's one final response to its client.
 func (c *Core) deliver(f *flow, response Response) {
-	if !c.invariants.Check(!f.answered, "second-answer", "flow %d", f.number) {
+	if !c.invariants.Check(!f.clientDone, "second-answer", "flow %d", f.number) {
 		return
 	}
 	switch response.Kind {
@@ -112,7 +112,7 @@
 // failOverdue fails a flow for which the decision module made no decision before the deadline.
 func (c *Core) failOverdue(number uint64) {
 	f := c.flows[number]
-	if f == nil || f.answered {
+	if f == nil || f.clientDone {
 		return
 	}
 	c.log.Error("flow overdue: no decision of the decision module before the deadline", "flow", f.number, "id", f.ID, "class", f.Class)
@@ -123,14 +123,14 @@
 
 // EndOpenFlows ends every open flow with a final response: refused if no attempt of it can have run, otherwise failed. It is
 // called shortly before the process is killed.
-func (c *Core) EndOpenFlows() { c.post(finishEvent{}) }
+func (c *Core) EndOpenFlows() { c.post(endOpenFlowsEvent{}) }
 
-type finishEvent struct{}
+type endOpenFlowsEvent struct{}
 
-func (finishEvent) apply(c *Core) {
+func (endOpenFlowsEvent) apply(c *Core) {
 	c.shuttingDown = true
 	for _, f := range c.flows {
-		if f.answered {
+		if f.clientDone {
 			continue
 		}
 		response := Response{Kind: Refused, RetryAfter: c.cfg.RetryAfterMS, Reason: shutdownReason}
--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -18,7 +18,7 @@
 	n, now := len(f.attempts), c.clock.Now()
 	s := c.sourceByTarget[a.Worker]
 	f.attempts = append(f.attempts, attempt{target: a.Worker, sentAt: now})
-	ok := c.invariants.Check(!f.answered, "send-after-answer", "flow %d", f.number) &&
+	ok := c.invariants.Check(!f.clientDone, "send-after-answer", "flow %d", f.number) &&
 		c.invariants.Check(f.outstanding < 0 || c.cfg.Settings.Duplicates, "two-attempts-out", "flow %d", f.number) &&
 		c.invariants.Check(n < c.cfg.Settings.MaxAttempts, "too-many-attempts", "flow %d", f.number) &&
 		c.invariants.Check(s != nil, "send-unknown-target", "%s", a.Worker)
@@ -31,7 +31,7 @@
 		f.attempts[n].ended, f.attempts[n].result = true, balance.NeverSent
 		c.trace.attemptNotStarted(f, reason)
 		c.enqueue(balance.Event{Kind: balance.Ended, Request: f.number, Attempt: n, Worker: a.Worker,
-			Result: balance.NeverSent, Final: f.answered})
+			Result: balance.NeverSent, Final: f.clientDone})
 		return
 	}
 	attemptDeadline := now + clock.Millis(a.After)
--- a/internal/core/leases.go
+++ b/internal/core/leases.go
@@ -11,8 +11,8 @@
 	"cottonwell/internal/listlease"
 )
 
-// listLease applies the lease on the list of the watched source. Package freshness decides which targets may be used. The
-// code here passes that on to the decision module, the transport and other schedulers.
+// listLease applies the lease on the list of the watched source. Package listlease decides which targets may be used. The
+// code here passes the result to the decision module, the transport and other schedulers.
 type listLease struct {
 	lease              *listlease.Lease // nil: lists are used without limit
 	peers              *listlease.Peers // nil if schedulers exchange no messages
@@ -22,7 +22,7 @@
 	lapsedAt           float64          // when the lease expired, or the start, in milliseconds; infinite while it is valid
 }
 
-// Parameters of the exchange with other schedulers about confirmations of the list. They configure freshness.Peers.
+// Parameters of the exchange with other schedulers about confirmations of the list. They configure listlease.Peers.
 const (
 	peerQueryIntervalMS = 250.0
 	peersPerQuery       = 3
@@ -62,7 +62,7 @@
 }
 
 // updateLeaseList passes the source's current targets to the lease after a list, or changes to it, were applied to them.
-func (c *Core) updateLeaseList(s *source, g *TargetList) (changed bool) {
+func (c *Core) updateLeaseList(s *source, list *TargetList) (changed bool) {
 	if c.lease == nil || s != c.leasedSource {
 		return false
 	}
@@ -73,10 +73,10 @@
 		}
 	}
 	now := c.clock.Now()
-	if g.Scope == balance.FromDisk {
+	if list.Scope == balance.FromDisk {
 		return c.lease.Load(now, serving)
 	}
-	return c.lease.ConfirmList(now, g.ReadAt, serving)
+	return c.lease.ConfirmList(now, list.ReadAt, serving)
 }
 
 // Heartbeat reports a heartbeat on the open watch of a source, and when it was read.
@@ -91,18 +91,18 @@
 
 func (e heartbeatEvent) apply(c *Core) {
 	c.stats.Heartbeats++
-	c.trace.leaseConfirmed("heartbeat", c.clock.Now()-e.readAt)
+	c.trace.leaseConfirmed("a sign of life", c.clock.Now()-e.readAt)
 	if s := c.sources[e.source]; s != nil && c.lease != nil && s == c.leasedSource {
 		c.afterLeaseEvent(s, c.lease.Heartbeat(c.clock.Now(), e.readAt))
 	}
 }
 
 // DiscoveryAddressChanged reports that a source is polled at another address from now on.
-func (c *Core) DiscoveryAddressChanged(sourceName string) { c.post(discoveryMovedEvent{sourceName}) }
+func (c *Core) DiscoveryAddressChanged(sourceName string) { c.post(addressChangedEvent{sourceName}) }
 
-type discoveryMovedEvent struct{ source string }
+type addressChangedEvent struct{ source string }
 
-func (e discoveryMovedEvent) apply(c *Core) {
+func (e addressChangedEvent) apply(c *Core) {
 	s := c.sources[e.source]
 	if s == nil || c.lease == nil || s != c.leasedSource || c.cfg.AddressChangeLease <= 0 {
 		return
--- a/internal/core/leases_test.go
+++ b/internal/core/leases_test.go
@@ -54,7 +54,7 @@
 	h := newLeasedHarness(t, 2)
 	h.accept("x", "c")
 	require.Empty(t, h.started, "the request is queued")
-	h.apply(probeEvent{ProbeResult{Target: "b", SentAt: h.clock.Now(), Result: balance.OK}})
+	h.apply(probeEndedEvent{ProbeResult{Target: "b", SentAt: h.clock.Now(), Result: balance.OK}})
 	require.Empty(t, h.started, "a probe does not confirm the list")
 	select {
 	case <-h.core.ListReady():
@@ -75,7 +75,7 @@
 	h.expireLease()
 	require.Equal(t, 2, h.core.withheldCount())
 	require.Equal(t, 1, h.core.stats.Lapses)
-	h.apply(probeEvent{ProbeResult{Target: "b", SentAt: h.clock.Now(), Result: balance.OK}})
+	h.apply(probeEndedEvent{ProbeResult{Target: "b", SentAt: h.clock.Now(), Result: balance.OK}})
 	require.Len(t, h.started, 1)
 	h.advance(9)
 	h.receiveChanges()
@@ -131,11 +131,11 @@
 	h := newLeasedHarness(t, 2)
 	h.receiveChanges()
 	notReady := ProbeResult{Target: "a", SentAt: h.clock.Now(), Result: balance.Failed, NotReady: true}
-	h.apply(probeEvent{notReady})
+	h.apply(probeEndedEvent{notReady})
 	require.Zero(t, h.core.withheldCount())
 	h.loseWatch()
 	require.Zero(t, h.core.withheldCount(), "the probe ended while the watch was open")
-	h.apply(probeEvent{notReady})
+	h.apply(probeEndedEvent{notReady})
 	require.Equal(t, 1, h.core.withheldCount())
 	for range 5 {
 		h.accept(string(rune('k'+len(h.started))), "c")
@@ -145,12 +145,12 @@
 	require.Len(t, h.started, 5)
 }
 
-// If MovedLease is set, no attempt is started after it has expired, until the new discovery address confirms the list.
+// If AddressChangeLease is set, no attempt is started after it has expired, until the new discovery address confirms the list.
 func TestLeaseAfterDiscoveryAddressChange(t *testing.T) {
 	h := newLeasedHarness(t, 1)
 	h.core.cfg.AddressChangeLease = 3700
 	h.receiveChanges()
-	h.apply(discoveryMovedEvent{"test"})
+	h.apply(addressChangedEvent{"test"})
 	h.advance(3699)
 	h.accept("x", "c")
 	require.Len(t, h.started, 1)
--- a/internal/core/maintenance.go
+++ b/internal/core/maintenance.go
@@ -75,30 +75,30 @@
 
 // publishTargets passes the usable state of listed targets of a source to the decision module and the transport.
 func (c *Core) publishTargets(s *source, targets ...Target) {
-	group := TargetList{Scope: balance.Changes}
+	list := TargetList{Scope: balance.Changes}
 	ev := balance.Event{Kind: balance.Listed, List: balance.Changes, Local: true}
 	for _, t := range targets {
 		t.Member = c.memberOf(t)
-		group.Targets = append(group.Targets, t)
+		list.Targets = append(list.Targets, t)
 		ev.Members = append(ev.Members, t.Member)
 	}
 	sortMembers(ev.Members)
-	s.Transport.Listed(group)
+	s.Transport.Listed(list)
 	c.enqueue(ev)
 }
 
 // applyMaintenance returns a source's list or changes, with the targets that are offline marked as draining.
-func (c *Core) applyMaintenance(g TargetList) TargetList {
+func (c *Core) applyMaintenance(list TargetList) TargetList {
 	if len(c.offline) == 0 {
-		return g
+		return list
 	}
-	targets := make([]Target, len(g.Targets))
-	for i, t := range g.Targets {
+	targets := make([]Target, len(list.Targets))
+	for i, t := range list.Targets {
 		if c.offline[t.ID] && t.State == balance.Ready {
 			t.State = balance.Draining
 		}
 		targets[i] = t
 	}
-	g.Targets = targets
-	return g
+	list.Targets = targets
+	return list
 }
--- a/internal/core/stats.go
+++ b/internal/core/stats.go
@@ -29,9 +29,9 @@
 	Reasons                                        Reasons
 }
 
-func (b *Stats) countOutcome(r balance.Result) {
-	if r >= 0 && int(r) < len(b.Outcomes) {
-		b.Outcomes[r]++
+func (s *Stats) countOutcome(r balance.Result) {
+	if r >= 0 && int(r) < len(s.Outcomes) {
+		s.Outcomes[r]++
 	}
 }
 
@@ -52,7 +52,7 @@
 
 // closeForClient marks a flow as finished for its client.
 func (c *Core) closeForClient(f *flow) {
-	f.answered = true
+	f.clientDone = true
 	c.openFlows--
 	if c.openFlows == 0 {
 		for _, ch := range c.idleWaiters {
@@ -65,7 +65,7 @@
 
 // removeIfDone removes a flow that is finished for its client and has no outstanding attempt.
 func (c *Core) removeIfDone(f *flow) {
-	if !f.answered || f.outstanding >= 0 {
+	if !f.clientDone || f.outstanding >= 0 {
 		return
 	}
 	if c.flows[f.number] == f {
@@ -91,8 +91,8 @@
 	ch := make(chan Stats, 1)
 	c.post(statsQuery{ch})
 	select {
-	case b := <-ch:
-		return b
+	case stats := <-ch:
+		return stats
 	case <-c.done:
 		return Stats{}
 	}
@@ -101,12 +101,12 @@
 type statsQuery struct{ reply chan Stats }
 
 func (e statsQuery) apply(c *Core) {
-	b := c.stats
-	b.Dropped = maps.Clone(b.Dropped)
-	b.Reasons = c.trace.reasons.clone()
-	b.Open, b.Targets, b.UnreadableDatagrams, b.Withheld = c.openFlows, len(c.sourceByTarget), c.module.Unreadable+c.unreadableMessages, c.withheldCount()
+	stats := c.stats
+	stats.Dropped = maps.Clone(stats.Dropped)
+	stats.Reasons = c.trace.reasons.clone()
+	stats.Open, stats.Targets, stats.UnreadableDatagrams, stats.Withheld = c.openFlows, len(c.sourceByTarget), c.module.Unreadable+c.unreadableMessages, c.withheldCount()
 	if p := c.module.Planner(); p != nil {
-		b.Reservations = p.LogValue()
+		stats.Reservations = p.LogValue()
 	}
-	e.reply <- b
+	e.reply <- stats
 }
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -1,8 +1,8 @@
 // Package core runs the request flows of one scheduler, independently of any wire protocol.
 //
 // A flow is one client request from its acceptance until it has its final response and no attempt of it is outstanding.
-// Listeners submit requests with Core.TakeIn. They receive progress and, unless the client left, exactly one final response
-// through the Listener interface. The decision module (package decide) chooses the target of each attempt and decides about
+// Listeners submit requests with Core.Accept. They receive progress and, unless the client left, exactly one final response
+// through the ResponseReceiver interface. The decision module (package decision) chooses the target of each attempt and decides about
 // refusals, cancellations and retries. Core carries these decisions out through the Transport of the target's Source. It
 // enforces the rules that apply to any decision, such as the limit on attempts and the repeat rules of a class.
 //
@@ -56,8 +56,8 @@
 	Priority     int          // higher is served first; 0 is normal
 }
 
-// ResponseReceiver receives the responses of a flow for its client. Core calls both methods from its own goroutine, so they must
-// not block. It calls Answer exactly once, or never if the client left first.
+// ResponseReceiver receives the progress and the final response of a flow for its client. Core calls both methods from its
+// own goroutine, so they must not block. It calls Respond exactly once, or never if the client left first.
 type ResponseReceiver interface {
 	Respond(Response)
 	Progress(Progress)
--- a/internal/decision/decision.go
+++ b/internal/decision/decision.go
@@ -1,5 +1,5 @@
 // Package decision combines the decision module (package balance) with the reservation planner for
-// large jobs (package room) and the load messages between schedulers (package gossip).
+// large jobs (package backfill) and the load messages between schedulers (package gossip).
 //
 // It has the interface of the decision module and replaces it for a host: the core, which works on
 // sockets, and the adapter to the simulator's protocol. The host passes in the module's events,
--- a/internal/decision/fleet_bench_test.go
+++ b/internal/decision/fleet_bench_test.go
@@ -29,9 +29,9 @@
 				}
 				now := time.Hour
 				d.Step(now, &balance.Event{Kind: balance.Listed, List: balance.FromDisk, Members: members(ids...)}, nil)
-				for who := 1; who < peers; who++ {
-					m := gossip.Message{Loads: []gossip.Load{{Target: gossip.NameOf(ids[who%(targets/2)*2]), Slots: 1}}}
-					d.Step(now, &balance.Event{Kind: balance.PeerLoads, Peer: who, Raw: string(gossip.AppendFull(nil, &m))}, nil)
+				for sender := 1; sender < peers; sender++ {
+					m := gossip.Message{Loads: []gossip.Load{{Target: gossip.NameOf(ids[sender%(targets/2)*2]), Slots: 1}}}
+					d.Step(now, &balance.Event{Kind: balance.PeerLoads, Peer: sender, Raw: string(gossip.AppendFull(nil, &m))}, nil)
 				}
 				b.ReportAllocs()
 				b.ResetTimer()
--- a/internal/decision/gossip_test.go
+++ b/internal/decision/gossip_test.go
@@ -48,7 +48,7 @@
 	return h, out
 }
 
-// Guards against omitted targets being read as idle: a full state of 200 targets had room for 85 in
+// Guards against omitted targets being read as idle: a full state of 200 targets named only 85 of them in
 // its datagram. Whichever datagrams arrive, and in any order, a target in use is never read as idle.
 func TestOutstandingLoadIsNeverReadAsIdle(t *testing.T) {
 	seed := rand.Uint64()
--- a/internal/decision/planner.go
+++ b/internal/decision/planner.go
@@ -156,16 +156,16 @@
 	case backfill.Wake:
 		return append(actions, balance.Action{Kind: balance.Wake, Timer: plannerTimer, After: max(0, durationOf(action.At)-now)})
 	case backfill.Reserve:
-		keep := &balance.Reservation{Request: action.Flow, SpareSlots: action.SpareSlots, BackfillSlots: action.BackfillSlots}
+		reservation := &balance.Reservation{Request: action.Flow, SpareSlots: action.SpareSlots, BackfillSlots: action.BackfillSlots}
 		for i, until := range action.BackfillUntil {
 			if until > millis(now) {
-				if keep.BackfillUntil == nil {
-					keep.BackfillUntil = make(map[string]time.Duration, len(action.BackfillUntil))
+				if reservation.BackfillUntil == nil {
+					reservation.BackfillUntil = make(map[string]time.Duration, len(action.BackfillUntil))
 				}
-				keep.BackfillUntil[d.classes[i]] = durationOf(until)
+				reservation.BackfillUntil[d.classes[i]] = durationOf(until)
 			}
 		}
-		d.event.Reservation = keep
+		d.event.Reservation = reservation
 	}
 	return d.module.Step(now, &d.event, actions)
 }
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -102,7 +102,7 @@
 	Reservations []Reservation
 }
 
-// ErrForm is returned for a datagram that is malformed or has an unknown version.
+// ErrFormat is returned for a datagram that is malformed or has an unknown version.
 var ErrFormat = errors.New("gossip: malformed datagram or unknown version")
 
 // FitsShortNames reports whether a message fits into one datagram of version 1 or 2.
--- a/internal/gossip/lists.go
+++ b/internal/gossip/lists.go
@@ -19,11 +19,11 @@
 //
 // Numbers are little-endian. A scheduler that does not know these versions counts them as unreadable.
 const (
-	versionListQuestion = 32
-	versionListExcept   = 33
-	versionListOnly     = 34
-	listHeaderSize      = 23 // bytes, of each version
-	keySize             = 8  // bytes
+	versionListRequest = 32
+	versionListExcept  = 33
+	versionListOnly    = 34
+	listHeaderSize     = 23 // bytes, of each version
+	keySize            = 8  // bytes
 	// MaxKeys is the maximum number of targets in a response.
 	MaxKeys = (MaxSize - listHeaderSize) / keySize
 	// MaxAge is the highest age that can be encoded, in ms. It represents all higher ages too.
@@ -71,12 +71,12 @@
 
 // IsListMessage reports whether a datagram is a request or a response about lists.
 func IsListMessage(raw string) bool {
-	return len(raw) > 0 && raw[0] >= versionListQuestion && raw[0] <= versionListOnly
+	return len(raw) > 0 && raw[0] >= versionListRequest && raw[0] <= versionListOnly
 }
 
 // Append appends the encoded request to raw.
 func (q *ListRequest) Append(raw []byte) []byte {
-	return appendListHeader(raw, versionListQuestion, q.Process, q.SentAt, q.Age, q.Digest)
+	return appendListHeader(raw, versionListRequest, q.Process, q.SentAt, q.Age, q.Digest)
 }
 
 // Append appends the encoded response to raw.
@@ -92,27 +92,27 @@
 	return raw
 }
 
-func appendListHeader(raw []byte, version byte, process uint32, askedAt uint64, age float64, digest uint64) []byte {
+func appendListHeader(raw []byte, version byte, process uint32, sentAt uint64, age float64, digest uint64) []byte {
 	raw = binary.LittleEndian.AppendUint32(append(raw, version), process)
-	raw = binary.LittleEndian.AppendUint64(raw, askedAt)
+	raw = binary.LittleEndian.AppendUint64(raw, sentAt)
 	raw = binary.LittleEndian.AppendUint16(raw, uint16(min(MaxAge, max(0, math.Ceil(age)))))
 	return binary.LittleEndian.AppendUint64(raw, digest)
 }
 
-// ParseList decodes a request or a response and returns nil for the other. It returns ErrForm for
+// ParseList decodes a request or a response and returns nil for the other. It returns ErrFormat for
 // anything else.
 func ParseList(raw string) (*ListRequest, *ListResponse, error) {
 	if len(raw) < listHeaderSize || len(raw) > MaxSize || (len(raw)-listHeaderSize)%keySize != 0 {
 		return nil, nil, ErrFormat
 	}
 	b := []byte(raw)
-	process, askedAt := binary.LittleEndian.Uint32(b[1:]), binary.LittleEndian.Uint64(b[5:])
+	process, sentAt := binary.LittleEndian.Uint32(b[1:]), binary.LittleEndian.Uint64(b[5:])
 	age, digest := float64(binary.LittleEndian.Uint16(b[13:])), binary.LittleEndian.Uint64(b[15:])
 	switch {
-	case raw[0] == versionListQuestion && len(raw) == listHeaderSize:
-		return &ListRequest{process, askedAt, age, digest}, nil, nil
+	case raw[0] == versionListRequest && len(raw) == listHeaderSize:
+		return &ListRequest{process, sentAt, age, digest}, nil, nil
 	case raw[0] == versionListExcept, raw[0] == versionListOnly:
-		a := &ListResponse{Process: process, RequestSentAt: askedAt, Age: age, Except: raw[0] == versionListExcept, Digest: digest}
+		a := &ListResponse{Process: process, RequestSentAt: sentAt, Age: age, Except: raw[0] == versionListExcept, Digest: digest}
 		for b = b[listHeaderSize:]; len(b) > 0; b = b[keySize:] {
 			a.Keys = append(a.Keys, Key(binary.LittleEndian.Uint64(b)))
 		}
--- a/internal/gossip/lists_test.go
+++ b/internal/gossip/lists_test.go
@@ -10,9 +10,9 @@
 	q := ListRequest{Process: 7, SentAt: 1_700_000_000_000_001, Age: 1234, Digest: 5}
 	raw := string(q.Append(nil))
 	require.True(t, IsListMessage(raw))
-	got, answer, err := ParseList(raw)
+	got, response, err := ParseList(raw)
 	require.NoError(t, err)
-	require.Nil(t, answer)
+	require.Nil(t, response)
 	require.Equal(t, &q, got)
 	keys := make([]Key, MaxKeys)
 	for i := range keys {
--- a/internal/listlease/lease.go
+++ b/internal/listlease/lease.go
@@ -77,7 +77,7 @@
 // unwatchedDuration milliseconds while none is open. unwatchedDuration must not exceed watchedDuration.
 func NewLease(watchedDuration, unwatchedDuration float64) (*Lease, error) {
 	if !(unwatchedDuration > 0 && unwatchedDuration <= watchedDuration) || math.IsInf(watchedDuration, 1) {
-		return nil, fmt.Errorf("freshness: invalid lease durations: %g ms with a watch, %g ms without", watchedDuration, unwatchedDuration)
+		return nil, fmt.Errorf("listlease: invalid lease durations: %g ms with a watch, %g ms without", watchedDuration, unwatchedDuration)
 	}
 	return &Lease{watchedDuration: watchedDuration, unwatchedDuration: unwatchedDuration, confirmedAt: never, lapsed: true, digest: gossip.DigestOf(nil)}, nil
 }
--- a/internal/listlease/peers.go
+++ b/internal/listlease/peers.go
@@ -60,10 +60,10 @@
 // is due after half a query interval, since discovery usually responds before.
 func NewPeers(now float64, cfg PeersConfig, lease *Lease) (*Peers, error) {
 	if cfg.Fleet < 2 || cfg.Self < 0 || cfg.Self >= cfg.Fleet {
-		return nil, fmt.Errorf("freshness: invalid scheduler number %d in a fleet of %d", cfg.Self, cfg.Fleet)
+		return nil, fmt.Errorf("listlease: invalid scheduler number %d in a fleet of %d", cfg.Self, cfg.Fleet)
 	}
 	if !(cfg.QueryIntervalMS > 0) || cfg.PeersPerQuery < 1 || !(cfg.MinAgeGainMS > 0) {
-		return nil, fmt.Errorf("freshness: invalid query settings: %d peers per query, interval %g ms, minimum age gain %g ms", cfg.PeersPerQuery, cfg.QueryIntervalMS, cfg.MinAgeGainMS)
+		return nil, fmt.Errorf("listlease: invalid query settings: %d peers per query, interval %g ms, minimum age gain %g ms", cfg.PeersPerQuery, cfg.QueryIntervalMS, cfg.MinAgeGainMS)
 	}
 	rng := rand.New(rand.NewPCG(cfg.Seed, 0x11575))
 	return &Peers{cfg: cfg, lease: lease, rng: rng, process: rng.Uint32(), nextQueryAt: now + cfg.QueryIntervalMS/2, pendingQueries: map[int]pendingQuery{}}, nil
@@ -106,7 +106,7 @@
 	return to
 }
 
-// Receive handles a datagram for which gossip.IsAboutLists is true. It returns the datagrams to send in response. changed
+// Receive handles a datagram for which gossip.IsListMessage is true. It returns the datagrams to send in response. changed
 // reports whether the withheld state of any target changed.
 func (p *Peers) Receive(now float64, sender int, raw string) (out []Message, changed bool, err error) {
 	if sender < 0 || sender >= p.cfg.Fleet || sender == p.cfg.Self {
--- a/internal/listlease/peers_test.go
+++ b/internal/listlease/peers_test.go
@@ -145,8 +145,8 @@
 		_, _, err := querierPeers.Receive(1100, 0, malformed)
 		require.Error(t, err)
 	}
-	for _, who := range []int{-1, 1, 2} {
-		_, _, err := querierPeers.Receive(1100, who, raw)
+	for _, sender := range []int{-1, 1, 2} {
+		_, _, err := querierPeers.Receive(1100, sender, raw)
 		require.Error(t, err, "not another scheduler")
 	}
 	_, changed, err := querierPeers.Receive(1100, 0, raw)
