--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,6 +1,6 @@
 // Package fleet combines what the schedulers of a tier know about one another and agree on: which
 // schedulers are live (members), which scheduler holds which duty (leases), which targets are
-// unhealthy (health), the traffic beyond tenants' shares (shares), and the agreed settings (rules).
+// unhealthy (health), the traffic beyond tenants' shares (usage), and the agreed settings (rules).
 //
 // The Machine is given events (datagrams, timers, reports of the host) and returns actions (datagrams
 // to send, duties, verdicts and settings to apply). It performs no I/O, and it does not route requests
@@ -86,11 +86,11 @@
 
 // The kinds of events.
 const (
-	Due              EventKind = iota // the requested wake-up time is reached: Asked
+	Due              EventKind = iota // the requested wake-up time is reached: Requests
 	DatagramReceived                  // a datagram was received: From, Raw
 	Resign                            // this scheduler shuts down
 	TargetSuspected                   // this scheduler took Target out of its selection: Failing
-	ProbeDone                         // a probe of Target ended: Answered
+	ProbeDone                         // a probe of Target ended: Responded
 	TargetsListed                     // Targets is the complete list of targets
 	Publish                           // Doc is to be put into force
 )
@@ -130,7 +130,7 @@
 	Adopted                            // all live members apply Version
 	RulesRefused                       // the document Digest is dropped, because To does not accept it: Note
 	Alarm                              // an inconsistency was detected: Note, of Version
-	FractionsChanged                   // under Duty's Number, for Lasts ms: Parts are the fractions of tenants' requests within their shares
+	FractionsChanged                   // under Duty's Number, for Lasts ms: Fractions are the parts of tenants' requests within their shares
 )
 
 // Action is one output of the Machine. The host carries out actions in order.
@@ -160,10 +160,10 @@
 	members        *members.Machine
 	leases         *lease.Machine
 	health         *health.Machine // nil if disabled
-	shares         *usage.Machine  // nil if disabled
+	usage          *usage.Machine  // nil if disabled
 	rules          *rules.Machine  // nil if disabled
 	dutyIndex      map[string]int
-	wakes          [5]float64 // wake-up times of members, leases, health, shares and rules, in this order
+	wakes          [5]float64 // wake-up times of members, leases, health, usage and rules, in this order
 	wakeAt         float64
 	alive          []bool
 	membersMsg     members.Msg
@@ -171,8 +171,8 @@
 	leaseActions   []lease.Action
 	healthActions  []health.Action
 	healthMsg      health.Msg
-	sharesActions  []usage.Action
-	sharesMsg      usage.Msg
+	usageActions   []usage.Action
+	usageMsg       usage.Msg
 	rulesActions   []rules.Action
 	rulesMsg       rules.Msg
 	raw            []byte
@@ -209,7 +209,7 @@
 		}
 	}
 	if config.Shares != nil {
-		if m.shares, err = usage.New(*config.Shares, now); err != nil {
+		if m.usage, err = usage.New(*config.Shares, now); err != nil {
 			return nil, err
 		}
 	}
@@ -230,7 +230,7 @@
 		m.stepMembers(now, &members.Event{Kind: members.Due})
 		m.stepLeases(now, &lease.Event{Kind: lease.Due, Wall: ev.Wall})
 		m.stepHealth(now, &health.Event{Kind: health.Due})
-		m.stepShares(now, &usage.Event{Kind: usage.Due, Requests: ev.Requests})
+		m.stepUsage(now, &usage.Event{Kind: usage.Due, Requests: ev.Requests})
 		m.stepRules(now, &rules.Event{Kind: rules.Due})
 	case TargetSuspected:
 		m.stepHealth(now, &health.Event{Kind: health.TargetSuspected, Target: ev.Target, Failing: ev.Failing})
@@ -277,9 +277,9 @@
 		if m.recordContact(now, ev.From, m.healthMsg.Parse(m.raw, m.digest)) {
 			m.stepHealth(now, &health.Event{Kind: health.MessageReceived, From: ev.From, Msg: &m.healthMsg})
 		}
-	case len(m.raw) > 0 && m.raw[0] == usage.Version && m.shares != nil:
-		if m.recordContact(now, ev.From, m.sharesMsg.Parse(m.raw, m.digest)) {
-			m.stepShares(now, &usage.Event{Kind: usage.MessageReceived, From: ev.From, Msg: &m.sharesMsg})
+	case len(m.raw) > 0 && m.raw[0] == usage.Version && m.usage != nil:
+		if m.recordContact(now, ev.From, m.usageMsg.Parse(m.raw, m.digest)) {
+			m.stepUsage(now, &usage.Event{Kind: usage.MessageReceived, From: ev.From, Msg: &m.usageMsg})
 		}
 	case len(m.raw) > 0 && m.raw[0] == rules.Format && m.rules != nil:
 		if m.recordContact(now, ev.From, m.rulesMsg.Parse(m.raw, m.digest)) {
@@ -399,15 +399,15 @@
 	}
 }
 
-// stepShares passes an event to the usage counts, with the current state of their duty.
-func (m *Machine) stepShares(now float64, ev *usage.Event) {
-	if m.shares == nil {
+// stepUsage passes an event to the usage counts, with the current state of their duty.
+func (m *Machine) stepUsage(now float64, ev *usage.Event) {
+	if m.usage == nil {
 		return
 	}
 	ev.Holder, _, ev.Newest, ev.Number = m.dutyState(usage.Duty, now)
-	m.sharesActions = m.shares.Step(now, ev, m.sharesActions[:0])
-	for i := range m.sharesActions {
-		switch a := &m.sharesActions[i]; a.Kind {
+	m.usageActions = m.usage.Step(now, ev, m.usageActions[:0])
+	for i := range m.usageActions {
+		switch a := &m.usageActions[i]; a.Kind {
 		case usage.Send:
 			m.raw = a.Msg.Append(m.raw[:0], m.digest)
 			m.sendRaw(a.To)
@@ -440,14 +440,14 @@
 			continue
 		case rules.Apply:
 			out.Kind = ApplyRules
-			if m.shares != nil {
+			if m.usage != nil {
 				agreed := map[string]float64{}
 				for name, t := range a.Doc.Tenants {
 					if t.Allowance != nil {
 						agreed[name] = *t.Allowance
 					}
 				}
-				m.shares.SetAllowances(agreed)
+				m.usage.SetAllowances(agreed)
 			}
 		case rules.Adopted:
 			out.Kind = Adopted
--- a/internal/fleet/health/health.go
+++ b/internal/fleet/health/health.go
@@ -3,11 +3,11 @@
 // own.
 //
 // A scheduler that takes a target out of its own selection reports this suspicion to the health
-// checker. Suspicions from several schedulers make it act: a target that is reported as unresponsive
-// is probed, and declared unhealthy only if it does not respond to the health checker either. A target
-// that is reported as failing is declared unhealthy on the reports alone, because a probe shows only
-// that the process runs. A verdict is sent to all live members, is valid for a stated time, and is
-// repeated while it applies. docs/design/examiner.md gives the guarantees.
+// checker. Suspicions from several schedulers make it act: a target that is reported as
+// unresponsive is probed, and declared unhealthy only if it does not respond to the health checker
+// either. A target that is reported as failing is declared unhealthy on the reports only, because a
+// probe shows only that the process runs. A verdict is sent to all live members, is valid for a
+// stated time, and is repeated while it applies. docs/design/examiner.md gives the guarantees.
 //
 // The Machine is given events and returns actions; it performs no I/O and does not send probes itself.
 // Each event carries the fencing number under which this scheduler holds the duty, read at that
@@ -139,7 +139,7 @@
 	suspectedAt      float64
 
 	// The state of the health checker.
-	suspicions        []suspicion // at most Config.Tellers, from different schedulers
+	suspicions        []suspicion // at most Config.Reporters, from different schedulers
 	unhealthy         bool
 	verdictFailing    bool // declared unhealthy because it fails, on the reports of others
 	unhealthyUntil    float64
--- a/internal/fleet/lease/msg.go
+++ b/internal/fleet/lease/msg.go
@@ -28,7 +28,7 @@
 type Msg struct {
 	Kind      MsgKind
 	Duty      uint32 // its ID
-	RunID     uint32 // the requester's Config.Life
+	RunID     uint32 // the requester's Config.RunID
 	Seq       uint32 // the requester's sequence number
 	Number    uint64
 	Holder    int
--- a/internal/fleet/lease/voter.go
+++ b/internal/fleet/lease/voter.go
@@ -13,10 +13,10 @@
 	releasedSeq uint32
 }
 
-// onVoterRequest answers a request as a voter. At any instant at most one scheduler has this voter's
-// grant, and a further grant needs a number newer than all before. The requester measures a grant from
-// when it sent the request and the voter from when it received it, so the grant expires at the
-// requester first.
+// onVoterRequest responds to a request as a voter. At any instant at most one scheduler has this
+// voter's grant, and a further grant needs a number newer than all before. The requester measures a
+// grant from when it sent the request and the voter from when it received it, so the grant expires
+// at the requester first.
 func (m *Machine) onVoterRequest(duty, from int, msg *Msg) {
 	current := &m.votes[duty]
 	response := Msg{Duty: msg.Duty, RunID: msg.RunID, Seq: msg.Seq, Number: current.number, Holder: current.holder}
--- a/internal/fleet/rules/publisher.go
+++ b/internal/fleet/rules/publisher.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// onRequest answers a scheduler's request for the version in force, and records its report.
+// onRequest responds to a scheduler's request for the version in force, and records its report.
 func (m *Machine) onRequest(now float64, who int, msg *Msg) {
 	peer := &m.peers[who]
 	peer.lastRequestAt, peer.current, peer.valid = now, msg.Version, msg.Valid
--- a/internal/fleet/rules/rules.go
+++ b/internal/fleet/rules/rules.go
@@ -27,7 +27,7 @@
 
 const (
 	requestsPerLease      = 4.0  // requests to the publisher in the time that a permission lasts
-	proposalTimeoutLeases = 8.0  // a proposal without a decision by all live members is dropped after this many times Config.Agree
+	proposalTimeoutLeases = 8.0  // a proposal without a decision by all live members is dropped after this many times Config.PermissionTime
 	maxPiecesPerRequest   = 8    // pieces sent in response to one request
 	requestIntervalMS     = 50.0 // ms between two requests for pieces of the same document
 	maxStoredDocs         = 8    // documents kept in addition to those in use
@@ -36,7 +36,7 @@
 	MaxReasonBytes = 120
 )
 
-// Config configures a Machine. Agree and Drift must be the same on all schedulers.
+// Config configures a Machine. PermissionTime and Drift must be the same on all schedulers.
 type Config struct {
 	Self, Fleet    int
 	RunID          uint32   // random number of this run
@@ -202,8 +202,8 @@
 	return m, nil
 }
 
-// holdTime returns how long a permission lasts, in ms from its request. By the fastest clock this ends
-// before Agree ends by the slowest clock.
+// holdTime returns how long a permission lasts, in ms from its request. By the fastest clock this
+// ends before PermissionTime ends by the slowest clock.
 func (m *Machine) holdTime() float64 {
 	return m.config.PermissionTime * (1 - m.config.Drift) / (1 + m.config.Drift)
 }
@@ -221,7 +221,7 @@
 	return m.current, d, false
 }
 
-// effective returns the document that a version stands for. All of its documents must have been
+// effective returns the document that a version denotes. All of its documents must have been
 // received.
 func (m *Machine) effective(v Version) *Doc {
 	if v.B == 0 {
--- a/internal/fleet/simulation/agreement.go
+++ b/internal/fleet/simulation/agreement.go
@@ -12,10 +12,10 @@
 
 // Rules configures the documents that are published in a run.
 type Rules struct {
-	Agree     float64 // ms
-	Documents int     // number of documents, published at random times by random schedulers
-	From, To  float64 // period in which documents are published, ms
-	Unsafe    rules.Unsafe
+	PermissionTime float64 // ms that a permission is valid
+	Documents      int     // number of documents, published at random times by random schedulers
+	From, To       float64 // period in which documents are published, ms
+	Unsafe         rules.Unsafe
 }
 
 // RulesResult holds the counters and times of the agreed settings in a run.
@@ -33,7 +33,7 @@
 func (w *World) rulesConfig(p *proc) *rules.Config {
 	c := rules.Default()
 	c.Self, c.Fleet, c.RunID, c.Seed = p.number, p.knownSchedulers, w.rng.Uint32(), w.rng.Uint64()
-	c.PermissionTime, c.Drift, c.Classes, c.Unsafe = w.options.Rules.Agree, max(w.options.Drift, 0.001), []string{"view", "buy"}, w.options.Rules.Unsafe
+	c.PermissionTime, c.Drift, c.Classes, c.Unsafe = w.options.Rules.PermissionTime, max(w.options.Drift, 0.001), []string{"view", "buy"}, w.options.Rules.Unsafe
 	three := 3
 	c.InitialDoc = &rules.Doc{Classes: map[string]rules.Class{"view": {Attempts: &three}}}
 	return &c
@@ -132,7 +132,7 @@
 		at := w.Now
 		for contradicting := false; ; at += 50 { // measures the duration for the case that no further messages arrive
 			v, doc, strict := q.machine.InForce(q.clock(at))
-			if strict || at > w.Now+5*w.options.Rules.Agree || related(v, a.Version) || len(rules.Contradicts(doc, a.Doc)) == 0 {
+			if strict || at > w.Now+5*w.options.Rules.PermissionTime || related(v, a.Version) || len(rules.Contradicts(doc, a.Doc)) == 0 {
 				if contradicting {
 					result.LongestContradiction = max(result.LongestContradiction, at-w.Now)
 				}
--- a/internal/fleet/simulation/agreement_test.go
+++ b/internal/fleet/simulation/agreement_test.go
@@ -20,7 +20,7 @@
 	o := randomOptions(seed)
 	o.Duties, o.Length = 1, 28_000
 	o.Script = faults.Draw(seed, o.Schedulers, 12, 24_000, 5000)
-	o.Rules = &Rules{Agree: 1000, Documents: 6, From: 5000, To: 20_000}
+	o.Rules = &Rules{PermissionTime: 1000, Documents: 6, From: 5000, To: 20_000}
 	return o
 }
 
@@ -103,7 +103,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			o := Options{Seed: 5, Schedulers: c.n, Voters: min(5, c.n), Lease: 1000, Duties: 1, Length: 28_000, BaseDelay: 2, Drift: 0.01, Script: c.script,
-				Rules: &Rules{Agree: 1000, Documents: c.publish, From: 5000, To: 20_000}}
+				Rules: &Rules{PermissionTime: 1000, Documents: c.publish, From: 5000, To: 20_000}}
 			r := runSimulation(t, o).Rules
 			require.Zero(t, r.Contradictions, "contradictions, of up to %.0f ms", r.LongestContradiction)
 			require.Zero(t, r.DecreasingNumbers, "decreasing numbers")
@@ -132,7 +132,7 @@
 			runs := map[int]int{5: 8, 50: 3, 300: 1}[n]
 			for seed := range uint64(runs) {
 				o := Options{Seed: seed, Schedulers: n, Voters: 5, Lease: 2000, Duties: 1, Length: 30_000, BaseDelay: 2, Drift: 0.01,
-					Script: faults.Script{{Kind: faults.Loss, Lasts: 30_000, Share: loss}}, Rules: &Rules{Agree: 3000, Documents: 3, From: 9000, To: 20_000}}
+					Script: faults.Script{{Kind: faults.Loss, Lasts: 30_000, Share: loss}}, Rules: &Rules{PermissionTime: 3000, Documents: 3, From: 9000, To: 20_000}}
 				r := runSimulation(t, o)
 				require.Zero(t, r.Rules.Contradictions+r.Rules.DecreasingNumbers+r.Rules.DuplicateNumbers)
 				adoptionTimes, datagrams, bytes = append(adoptionTimes, r.Rules.AdoptionTimes...), datagrams+r.Datagrams, bytes+r.Bytes
--- a/internal/fleet/simulation/simulation_test.go
+++ b/internal/fleet/simulation/simulation_test.go
@@ -297,7 +297,7 @@
 }
 
 // A scheduler that was paused declares no other dead when it resumes.
-func TestPausedSchedulerDeclaresNoneDead(t *testing.T) {
+func TestPausedSchedulerDeclaresNoMemberDead(t *testing.T) {
 	o := Options{Seed: 4, Schedulers: 20, Voters: 5, Length: 30_000, BaseDelay: 2,
 		Script: faults.Script{{Kind: faults.Stall, At: 6000, Lasts: 12_000, From: []int{7}}}}
 	require.Zero(t, runSimulation(t, o).FalseDeaths)
--- a/internal/fleet/usage/msg.go
+++ b/internal/fleet/usage/msg.go
@@ -12,21 +12,21 @@
 
 // The kinds of messages.
 const (
-	Usage MsgKind = 1 + iota // to the usage aggregator: the sender's requests per second, by tenant
-	Parts                    // to all: the fraction of each tenant's requests that is within its share
+	Usage     MsgKind = 1 + iota // to the usage aggregator: the sender's requests per second, by tenant
+	Fractions                    // to all: the fraction of each tenant's requests that is within its share
 )
 
 // Msg is a message between schedulers about tenants.
 type Msg struct {
 	Kind       MsgKind
 	TenantsKey uint32    // hash of the tenants' names
-	Number     uint64    // Parts: the usage aggregator's fencing number; Usage: the sender's Config.Life
+	Number     uint64    // Fractions: the usage aggregator's fencing number; Usage: the sender's Config.RunID
 	Seq        uint32    // the sender's sequence number
 	Lasts      float64   // ms, encoded in steps of 2 ms
-	Figures    []float32 // by tenant; Usage: requests per second; Parts: fraction from 0 to 1
+	Figures    []float32 // by tenant; Usage: requests per second; Fractions: from 0 to 1
 }
 
-// Version is the first byte of a datagram with a shares message.
+// Version is the first byte of a datagram with a usage message.
 const Version = 0x53
 
 const fixedSize = 1 + 4 + 8 + 4 + 2
@@ -53,7 +53,7 @@
 		return err
 	}
 	n := (len(body) - fixedSize) / 4
-	if len(body) <= fixedSize || len(body) != fixedSize+4*n || n > MaxTenants || body[0] < byte(Usage) || body[0] > byte(Parts) {
+	if len(body) <= fixedSize || len(body) != fixedSize+4*n || n > MaxTenants || body[0] < byte(Usage) || body[0] > byte(Fractions) {
 		return datagram.ErrInvalid
 	}
 	*msg = Msg{Kind: MsgKind(body[0]), TenantsKey: binary.LittleEndian.Uint32(body[1:]), Number: binary.LittleEndian.Uint64(body[5:]), Seq: binary.LittleEndian.Uint32(body[13:]),
--- a/internal/fleet/usage/usage.go
+++ b/internal/fleet/usage/usage.go
@@ -101,7 +101,7 @@
 // The kinds of actions.
 const (
 	Send             ActionKind = iota // send Msg to scheduler To; -1: to all other live members; Msg is valid until the next Step
-	FractionsChanged                   // under Number, Parts applies for Lasts ms
+	FractionsChanged                   // under Number, Fractions applies for Lasts ms
 	Wake                               // deliver Due at At; replaces an earlier wake-up
 )
 
@@ -140,13 +140,13 @@
 	nextReportAt      float64
 	rates             []float32
 	seq               uint32 // of this scheduler's latest report
-	newestNumber      uint64 // number of the latest applied Parts
-	newestSeq         uint32 // sequence number of the latest applied Parts under newestNumber
+	newestNumber      uint64 // number of the latest applied Fractions message
+	newestSeq         uint32 // sequence number of the latest applied Fractions message under newestNumber
 
 	// The state of the usage aggregator.
 	number       uint64 // to which this state belongs; 0: not the usage aggregator
 	since        float64
-	partsSeq     uint32 // sequence number of its latest message
+	fractionsSeq uint32 // sequence number of its latest message
 	endSendsLeft int    // messages still to be sent after no tenant exceeds its share
 	reporters    []reporter
 	rateSums     []float64
@@ -180,7 +180,7 @@
 func (m *Machine) Step(now float64, ev *Event, acts []Action) []Action {
 	m.actions = acts
 	if ev.Number != m.number { // the duty was gained, lost, or lost and regained: discard what was added up under the other number
-		m.number, m.since, m.partsSeq, m.endSendsLeft = ev.Number, now, 0, 0
+		m.number, m.since, m.fractionsSeq, m.endSendsLeft = ev.Number, now, 0, 0
 		clear(m.rateSums)
 		for i := range m.reporters {
 			m.reporters[i].receivedAt = math.Inf(-1)
@@ -195,7 +195,7 @@
 		switch {
 		case m.number > 0:
 			m.recordUsage(now, m.config.Self, m.config.RunID, m.seq, m.rates)
-			m.sendParts(now)
+			m.sendFractions(now)
 		case ev.Holder >= 0 && ev.Holder != m.config.Self:
 			m.emit(Action{Kind: Send, To: ev.Holder, Msg: &Msg{Kind: Usage, TenantsKey: m.tenantsKey, Number: uint64(m.config.RunID), Seq: m.seq, Figures: m.rates}})
 		}
@@ -238,8 +238,8 @@
 		m.Counts.Mismatched++
 		return
 	}
-	if msg.Kind == Parts {
-		m.applyParts(msg, ev.Newest)
+	if msg.Kind == Fractions {
+		m.applyFractions(msg, ev.Newest)
 	} else if m.number > 0 && ev.From >= 0 && ev.From < len(m.reporters) {
 		m.recordUsage(now, ev.From, uint32(msg.Number), msg.Seq, msg.Figures)
 	}
@@ -255,12 +255,13 @@
 	reporter.receivedAt, reporter.runID, reporter.seq, reporter.rates = now, runID, seq, append(reporter.rates[:0], rates...)
 }
 
-// sendParts adds up the reported rates and sends the resulting fractions while some tenant exceeds its
-// share. A scheduler whose last report is too old to count is dead or isolated, so its requests are
-// unknown here. Sums that are too small only delay the treatment of traffic beyond the shares.
-func (m *Machine) sendParts(now float64) {
+// sendFractions adds up the reported rates and sends the resulting fractions while some tenant
+// exceeds its share. A scheduler whose last report is too old to count is dead or isolated, so its
+// requests are unknown here. Sums that are too small only delay the treatment of traffic beyond the
+// shares.
+func (m *Machine) sendFractions(now float64) {
 	warmingUp := now < m.since+warmupRounds*m.config.Interval // not all schedulers have reported yet
-	parts, overShare := make([]float32, len(m.config.Tenants)), false
+	fractions, overShare := make([]float32, len(m.config.Tenants)), false
 	for i, t := range m.config.Tenants {
 		sum := 0.0
 		for k := range m.reporters {
@@ -272,9 +273,9 @@
 			m.rateSums[i] = sum
 		}
 		m.rateSums[i] += newestWeight * (sum - m.rateSums[i])
-		parts[i] = 1
+		fractions[i] = 1
 		if m.rateSums[i] > overShareFactor*t.Allowance {
-			parts[i], overShare = float32(t.Allowance/m.rateSums[i]), true
+			fractions[i], overShare = float32(t.Allowance/m.rateSums[i]), true
 		}
 	}
 	if warmingUp {
@@ -286,24 +287,24 @@
 		m.endSendsLeft = 0
 		return
 	}
-	m.partsSeq++
-	msg := &Msg{Kind: Parts, TenantsKey: m.tenantsKey, Number: m.number, Seq: m.partsSeq, Lasts: m.config.ValidFor, Figures: parts}
+	m.fractionsSeq++
+	msg := &Msg{Kind: Fractions, TenantsKey: m.tenantsKey, Number: m.number, Seq: m.fractionsSeq, Lasts: m.config.ValidFor, Figures: fractions}
 	m.emit(Action{Kind: Send, To: -1, Msg: msg})
-	m.applyParts(msg, 0)
+	m.applyFractions(msg, 0)
 }
 
-// applyParts applies a message of the usage aggregator, unless a newer one is known.
-func (m *Machine) applyParts(msg *Msg, newest uint64) {
+// applyFractions applies a message of the usage aggregator, unless a newer one is known.
+func (m *Machine) applyFractions(msg *Msg, newest uint64) {
 	if msg.Number < max(newest, m.newestNumber) || msg.Number == m.newestNumber && msg.Seq <= m.newestSeq {
 		m.Counts.Stale++
 		return
 	}
 	m.newestNumber, m.newestSeq = msg.Number, msg.Seq
-	parts := map[string]float64{}
+	fractions := map[string]float64{}
 	for i, t := range m.config.Tenants {
 		if msg.Figures[i] < 1 {
-			parts[t.Name] = float64(msg.Figures[i])
+			fractions[t.Name] = float64(msg.Figures[i])
 		}
 	}
-	m.emit(Action{Kind: FractionsChanged, Fractions: parts, Number: msg.Number, Lasts: msg.Lasts})
+	m.emit(Action{Kind: FractionsChanged, Fractions: fractions, Number: msg.Number, Lasts: msg.Lasts})
 }
--- a/internal/fleet/usage/usage_test.go
+++ b/internal/fleet/usage/usage_test.go
@@ -18,27 +18,27 @@
 // schedulers with lower numbers receive more of them.
 type testFleet struct {
 	vtime.Queue
-	network     *faults.DatagramFaults
-	machines    []*Machine
-	dead        []bool
-	wakes       []float64
-	holder      int // -1: no scheduler
-	number      uint64
-	staleHolder int // still acts as the holder of the duty, under its old number; -1: no scheduler
-	staleNumber uint64
-	rate        [2]float64
-	requests    [][]float64
-	countedAt   []float64
-	parts       []map[string]float64
-	partsUntil  []float64
-	sends       int
+	network        *faults.DatagramFaults
+	machines       []*Machine
+	dead           []bool
+	wakes          []float64
+	holder         int // -1: no scheduler
+	number         uint64
+	staleHolder    int // still acts as the holder of the duty, under its old number; -1: no scheduler
+	staleNumber    uint64
+	rate           [2]float64
+	requests       [][]float64
+	countedAt      []float64
+	fractions      []map[string]float64
+	fractionsUntil []float64
+	sends          int
 }
 
 func newTestFleet(t require.TestingT, n int, script faults.Script, seed uint64) *testFleet {
 	x := &testFleet{network: &faults.DatagramFaults{Script: script, MeanDelay: 5, Rng: rand.New(rand.NewPCG(seed, 1))}, number: 10, staleHolder: -1, rate: [2]float64{800, 300}}
 	for i := range n {
 		x.machines, x.wakes, x.countedAt, x.requests = append(x.machines, nil), append(x.wakes, math.Inf(1)), append(x.countedAt, 0), append(x.requests, make([]float64, 2))
-		x.parts, x.partsUntil, x.dead = append(x.parts, nil), append(x.partsUntil, 0), append(x.dead, false)
+		x.fractions, x.fractionsUntil, x.dead = append(x.fractions, nil), append(x.fractionsUntil, 0), append(x.dead, false)
 		x.startMachine(t, i, 1)
 	}
 	return x
@@ -92,7 +92,7 @@
 				}
 			}
 		case FractionsChanged:
-			x.parts[i], x.partsUntil[i] = a.Fractions, x.Now+a.Lasts
+			x.fractions[i], x.fractionsUntil[i] = a.Fractions, x.Now+a.Lasts
 		case Wake:
 			if a.At == x.wakes[i] {
 				continue
@@ -114,11 +114,11 @@
 	x.Now = end
 }
 
-// countParts returns how many schedulers apply a fraction for a tenant that is within the given
+// countFractions returns how many schedulers apply a fraction for a tenant that is within the given
 // distance of the right one.
-func (x *testFleet) countParts(tenant string, right, within float64) (n int) {
-	for i, p := range x.parts {
-		if part, yes := p[tenant]; yes && x.partsUntil[i] > x.Now && math.Abs(part-right) <= within {
+func (x *testFleet) countFractions(tenant string, right, within float64) (n int) {
+	for i, p := range x.fractions {
+		if part, yes := p[tenant]; yes && x.fractionsUntil[i] > x.Now && math.Abs(part-right) <= within {
 			n++
 		}
 	}
@@ -128,19 +128,19 @@
 func TestAllSchedulersGetTheFractionWithinATenantsShare(t *testing.T) {
 	x := newTestFleet(t, 20, nil, 1)
 	x.run(4000)
-	require.Equal(t, 20, x.countParts("a", 500.0/800, 0.02))
-	require.Zero(t, x.countParts("b", 0.5, 0.6), "a tenant within its share")
+	require.Equal(t, 20, x.countFractions("a", 500.0/800, 0.02))
+	require.Zero(t, x.countFractions("b", 0.5, 0.6), "a tenant within its share")
 	for _, m := range x.machines {
 		m.SetAllowances(map[string]float64{"a": 400, "no such tenant": 3})
 	}
 	x.run(4000)
-	require.Equal(t, 20, x.countParts("a", 0.5, 0.02), "by the agreed allowance")
+	require.Equal(t, 20, x.countFractions("a", 0.5, 0.02), "by the agreed allowance")
 	for _, m := range x.machines {
 		m.SetAllowances(nil)
 	}
 	x.rate[0] = 400
 	x.run(4500)
-	require.Zero(t, x.countParts("a", 0.5, 0.6), "a tenant that is within its share again")
+	require.Zero(t, x.countFractions("a", 0.5, 0.6), "a tenant that is within its share again")
 	before := x.sends
 	x.run(5000)
 	require.Equal(t, 19*10, x.sends-before, "while all tenants are within their shares, the only messages are the reports")
@@ -155,21 +155,21 @@
 		x.holder, x.number = next+3, x.number+1
 		for range 30 {
 			x.run(100)
-			require.Equal(t, 20, x.countParts("a", 500.0/800, 0.08), "usage aggregator %d", next)
+			require.Equal(t, 20, x.countFractions("a", 500.0/800, 0.08), "usage aggregator %d", next)
 		}
 	}
 	x.holder = -1
 	x.run(Default().ValidFor + 600)
-	require.Zero(t, x.countParts("a", 0.5, 0.6), "no fraction applies while no scheduler holds the duty")
+	require.Zero(t, x.countFractions("a", 0.5, 0.6), "no fraction applies while no scheduler holds the duty")
 }
 
-func TestPartsUnderAnOldNumberAreRefused(t *testing.T) {
+func TestFractionsUnderAnOldNumberAreRefused(t *testing.T) {
 	x := newTestFleet(t, 20, nil, 1)
 	x.run(4000)
 	x.staleHolder, x.staleNumber, x.holder, x.number = 0, 10, 5, 11 // scheduler 0 was paused, and by its own counts no tenant asks for much
 	stale := x.machines[7].Counts.Stale
 	x.run(4000)
-	require.Equal(t, 20, x.countParts("a", 500/(800*(1-40.0/420)), 0.02), "by the sums of the new holder, to which the stale holder does not report")
+	require.Equal(t, 20, x.countFractions("a", 500/(800*(1-40.0/420)), 0.02), "by the sums of the new holder, to which the stale holder does not report")
 	require.Greater(t, x.machines[7].Counts.Stale, stale)
 }
 
@@ -181,11 +181,11 @@
 	x.dead[3], x.dead[4] = true, true
 	x.run(5000)
 	weight := 1 - (17.0+16)/210
-	require.Equal(t, 18, x.countParts("a", 500/(800*weight), 0.02))
+	require.Equal(t, 18, x.countFractions("a", 500/(800*weight), 0.02))
 	x.startMachine(t, 3, 2)
 	x.startMachine(t, 4, 2)
 	x.run(4000)
-	require.Equal(t, 20, x.countParts("a", 500.0/800, 0.02))
+	require.Equal(t, 20, x.countFractions("a", 500.0/800, 0.02))
 }
 
 // With 30 percent of the datagrams lost, others delayed, duplicated and corrupted, and one change of
@@ -204,8 +204,8 @@
 				x.holder, x.number = (x.holder+1)%n, x.number+1
 			}
 			x.run(300)
-			right += x.countParts("a", 500.0/800, 0.12)
-			require.Zero(t, x.countParts("b", 0.5, 0.6), "seed %d", seed)
+			right += x.countFractions("a", 500.0/800, 0.12)
+			require.Zero(t, x.countFractions("b", 0.5, 0.6), "seed %d", seed)
 		}
 		require.Greater(t, right, 16*n, "seed %d: of 20 samples of %d schedulers", seed, n)
 	}
@@ -220,12 +220,12 @@
 	x.machines[4] = m
 	x.run(4000)
 	require.Positive(t, x.machines[0].Counts.Mismatched)
-	require.Empty(t, x.parts[4])
+	require.Empty(t, x.fractions[4])
 }
 
 func TestParse(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		in := Msg{Kind: Parts, TenantsKey: rapid.Uint32().Draw(rt, "key"), Number: rapid.Uint64().Draw(rt, "number"), Seq: rapid.Uint32().Draw(rt, "seq"), Lasts: 1500}
+		in := Msg{Kind: Fractions, TenantsKey: rapid.Uint32().Draw(rt, "key"), Number: rapid.Uint64().Draw(rt, "number"), Seq: rapid.Uint32().Draw(rt, "seq"), Lasts: 1500}
 		for range rapid.IntRange(1, MaxTenants).Draw(rt, "tenants") {
 			in.Figures = append(in.Figures, rapid.Float32Range(0, 9e8).Draw(rt, "figure"))
 		}
--- a/internal/net/control/control_test.go
+++ b/internal/net/control/control_test.go
@@ -148,8 +148,8 @@
 	require.Empty(t, s.acts, "half a request has no effect")
 }
 
-// If the scheduler does not respond before the timeout, the response is no.
-func TestSchedulerTimeoutIsNo(t *testing.T) {
+// If the scheduler does not respond before the timeout, the request fails with 503.
+func TestSchedulerTimeoutFailsRequest(t *testing.T) {
 	s := &scheduler{blocked: make(chan struct{})}
 	at := startServer(t, s)
 	require.Equal(t, http.StatusServiceUnavailable, request(t, at, "POST", "/control/shop-workers/s-1/offline"))
--- a/internal/net/discovery/discovery.go
+++ b/internal/net/discovery/discovery.go
@@ -1,6 +1,6 @@
-// Package discovery reads the list of targets and its changes from the discovery service over HTTP. It is given
-// the service's address and a callback. It keeps one watch open per request, and passes each list, each sign of
-// life and each failure to the callbacks. It does not retry by itself and does not store the list.
+// Package discovery reads the list of targets and its changes from the discovery service over HTTP. It is given the
+// service's address and a callback. It keeps one watch open per request, and passes each list, each heartbeat and
+// each failure to the callbacks. It does not retry by itself and does not store the list.
 package discovery
 
 import (
@@ -41,29 +41,29 @@
 
 // Config configures a Watcher.
 type Config struct {
-	Address string // the first address; Move sets others
+	Address string // the first address; SetAddress sets others
 	Clock   clock.Clock
 	Log     *slog.Logger
 	Stack   *httpio.Stack
-	// OnList receives every list, and a group of scope AskFailed after each watch that failed or ended.
+	// OnList receives every list, and an empty list of scope RequestFailed after each watch that failed or ended.
 	OnList func(core.TargetList)
-	// OnHeartbeat receives the time of each sign of life, in milliseconds, on a watch whose first list has arrived.
+	// OnHeartbeat receives the time of each heartbeat, in milliseconds, on a watch whose first list has arrived.
 	// Nil if not needed.
 	OnHeartbeat func(readAt float64)
 	// OnAddressChange is called when the discovery address changes. Nil if not needed.
 	OnAddressChange func()
-	// HasList reports whether a list is known at the start, and From is its version, which may be 0. The watcher then
-	// requests only the changes since: the whole list costs discovery work for each line, and after a release all
-	// schedulers send their requests at once.
+	// HasList reports whether a list is known at the start, and FromVersion is its version, which may be 0. The
+	// watcher then requests only the changes since: the whole list costs discovery work for each line, and after a
+	// release all schedulers send their requests at once.
 	HasList     bool
 	FromVersion uint64
 }
 
-// SetAddress changes the discovery address and requests a watch there at once, without waiting for the module's next
-// retry. The known targets stay valid until the new address responds. The request is for the whole list: versions
-// belong to the service that assigned them, and the new address need not continue those of the old one. Until it
-// has responded, changes from the old address are still passed on, as a change counts from when it was written.
-// Signs of life of the old address are not, as its list is no longer authoritative.
+// SetAddress changes the discovery address and requests a watch there at once, without waiting for the module's
+// next retry. The known targets stay valid until the new address responds. The request is for the whole list:
+// versions belong to the service that assigned them, and the new address need not continue those of the old one.
+// Until it has responded, changes from the old address are still passed on, as a change counts from when it was
+// written. Heartbeats of the old address are not, as its list is no longer authoritative.
 func (w *Watcher) SetAddress(address string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -147,22 +147,22 @@
 	w.mu.Unlock()
 	if addressChanged {
 		w.Log.Info("discovery address changed", "from", ended.address)
-		return // Move has already requested a watch
+		return // SetAddress has already requested a watch
 	}
 	w.Log.Warn("watch ended", "discovery", ended.address, "index", w.FromVersion, "lasted_ms", w.Clock.Now()-ended.startedAt, "cause", ended.err)
 	w.OnList(core.TargetList{Scope: balance.RequestFailed})
 }
 
 // streamMonitor passes on a stream of lists and extends the watch as data arrives. The stream is JSON objects in
-// any layout, with white space between them. White space is a sign of life only between objects, and an object
-// only once: an object that is not complete before the timeout counts as silence.
+// any layout, with white space between them. White space is a heartbeat only between objects, and an object only
+// once: an object that is not complete before the timeout counts as silence.
 type streamMonitor struct {
-	r          io.Reader
-	now        func() float64
-	extend     func() error
-	signOfLife func()  // called at white space between objects
-	inObject   bool    // an object has begun and is not complete
-	readAt     float64 // time of the last read with data, in ms
+	r           io.Reader
+	now         func() float64
+	extend      func() error
+	onHeartbeat func()  // called at white space between objects
+	inObject    bool    // an object has begun and is not complete
+	readAt      float64 // time of the last read with data, in ms
 	// objectStartedAt is when the first byte of the latest object was read, in ms. The object describes that time,
 	// however long the rest took.
 	objectStartedAt float64
@@ -178,7 +178,7 @@
 		if m.inObject = len(bytes.TrimSpace(b[:n])) > 0; m.inObject {
 			m.objectStartedAt = m.readAt
 		} else {
-			m.signOfLife()
+			m.onHeartbeat()
 		}
 		err = m.extend()
 	}
--- a/internal/net/discovery/discovery_test.go
+++ b/internal/net/discovery/discovery_test.go
@@ -25,9 +25,9 @@
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer ln.Close()
-	groups := make(chan core.TargetList, 9)
+	lists := make(chan core.TargetList, 9)
 	w := New(Config{Address: ln.Addr().String(), Clock: clock.NewManual(1), Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
-		Stack: httpio.NewStack(), HasList: true, FromVersion: 0, OnList: func(g core.TargetList) { groups <- g }})
+		Stack: httpio.NewStack(), HasList: true, FromVersion: 0, OnList: func(g core.TargetList) { lists <- g }})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { w.Run(ctx); close(done) }()
@@ -48,15 +48,15 @@
 		_, err = fmt.Fprintf(c, "HTTP/1.1 %s\r\nConnection: close\r\n\r\n%s", round.status, round.text)
 		require.NoError(t, err)
 		if round.from == "0" {
-			g := <-groups
+			g := <-lists
 			require.Equal(t, balance.Changes, g.Scope)
 			require.Len(t, g.Targets, 2, "an entry without a name is ignored")
 			require.Equal(t, balance.Draining, g.Targets[1].State, "a target of unknown status receives nothing")
 		}
 		if round.from == "" {
-			require.Equal(t, balance.Complete, (<-groups).Scope)
+			require.Equal(t, balance.Complete, (<-lists).Scope)
 		}
 		c.Close()
-		require.Equal(t, balance.RequestFailed, (<-groups).Scope, "the end of a watch is reported")
+		require.Equal(t, balance.RequestFailed, (<-lists).Scope, "the end of a watch is reported")
 	}
 }
--- a/internal/net/discovery/list.go
+++ b/internal/net/discovery/list.go
@@ -26,12 +26,12 @@
 	SinceMS float64 `json:"since_ms"`
 }
 
-// TargetGroup converts the list for the core. An entry that cannot be read is left out; the error then reports it,
+// TargetGroup converts the list for the core. An entry that cannot be read is left out; the error then names it,
 // and the other entries are valid.
 func (l *List) TargetGroup() (core.TargetList, error) {
-	group := core.TargetList{Scope: balance.Changes}
+	list := core.TargetList{Scope: balance.Changes}
 	if l.Snapshot {
-		group.Scope = balance.Complete
+		list.Scope = balance.Complete
 	}
 	var entryErr error
 	for _, entry := range l.Endpoints {
@@ -52,7 +52,7 @@
 			entryErr = fmt.Errorf("entry without a name")
 			continue
 		}
-		group.Targets = append(group.Targets, target)
+		list.Targets = append(list.Targets, target)
 	}
-	return group, entryErr
+	return list, entryErr
 }
--- a/internal/net/discovery/stream_test.go
+++ b/internal/net/discovery/stream_test.go
@@ -58,19 +58,19 @@
 }
 
 type fixture struct {
-	t      *testing.T
-	w      *Watcher
-	ln     net.Listener
-	clock  *deadlineClock
-	groups chan core.TargetList
+	t     *testing.T
+	w     *Watcher
+	ln    net.Listener
+	clock *deadlineClock
+	lists chan core.TargetList
 }
 
 func newFixture(t *testing.T) *fixture {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	s := &fixture{t: t, ln: ln, clock: &deadlineClock{Manual: clock.NewManual(1)}, groups: make(chan core.TargetList, 9)}
+	s := &fixture{t: t, ln: ln, clock: &deadlineClock{Manual: clock.NewManual(1)}, lists: make(chan core.TargetList, 9)}
 	s.w = New(Config{Address: ln.Addr().String(), Clock: s.clock, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
-		Stack: httpio.NewStack(), HasList: true, FromVersion: 41, OnList: func(g core.TargetList) { s.groups <- g }})
+		Stack: httpio.NewStack(), HasList: true, FromVersion: 41, OnList: func(g core.TargetList) { s.lists <- g }})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { s.w.Run(ctx); close(done) }()
@@ -113,13 +113,13 @@
 	for i := 0; i < len(one); i += 7 {
 		chunk(one[i:min(i+7, len(one))])
 	}
-	require.Equal(t, "t42", (<-s.groups).Targets[0].ID)
+	require.Equal(t, "t42", (<-s.lists).Targets[0].ID)
 	chunk("\n")
 	chunk("\n" + s.list(43) + s.list(44) + "\n" + s.list(45)[:9])
-	require.Equal(t, "t43", (<-s.groups).Targets[0].ID)
-	require.Equal(t, "t44", (<-s.groups).Targets[0].ID)
+	require.Equal(t, "t43", (<-s.lists).Targets[0].ID)
+	require.Equal(t, "t44", (<-s.lists).Targets[0].ID)
 	chunk(s.list(45)[9:])
-	require.Equal(t, "t45", (<-s.groups).Targets[0].ID)
+	require.Equal(t, "t45", (<-s.lists).Targets[0].ID)
 }
 
 // Crossing: a watch falls silent in the middle of a list, while empty lines still arrive. The partial list changes
@@ -129,15 +129,15 @@
 	s.w.RequestWatch()
 	_, chunk, c := s.open()
 	chunk(s.list(42))
-	require.Equal(t, "t42", (<-s.groups).Targets[0].ID)
+	require.Equal(t, "t42", (<-s.lists).Targets[0].ID)
 	s.awaitDeadlines(5, "request, response, open, begun, whole")
 	s.clock.mu.Lock()
 	s.clock.short = 300 * time.Millisecond
 	s.clock.mu.Unlock()
-	chunk(s.list(43)[:20]) // the start of an object is a sign of life
+	chunk(s.list(43)[:20]) // the start of an object is a heartbeat
 	for ended := false; !ended; {
 		select {
-		case g := <-s.groups:
+		case g := <-s.lists:
 			require.Equal(t, balance.RequestFailed, g.Scope)
 			ended = true
 		case <-time.After(20 * time.Millisecond):
@@ -152,7 +152,7 @@
 	from, chunk, _ := s.open()
 	require.Equal(t, "42", from)
 	chunk(s.list(43))
-	require.Equal(t, "t43", (<-s.groups).Targets[0].ID)
+	require.Equal(t, "t43", (<-s.lists).Targets[0].ID)
 }
 
 // A watch without data is reopened, long before the changes it misses count as reported.
@@ -163,10 +163,10 @@
 	s.w.RequestWatch()
 	_, chunk, _ := s.open()
 	chunk(s.list(42))
-	require.Equal(t, "t42", (<-s.groups).Targets[0].ID)
+	require.Equal(t, "t42", (<-s.lists).Targets[0].ID)
 	s.clock.pass()
 	chunk("\n")
-	require.Equal(t, balance.RequestFailed, (<-s.groups).Scope)
+	require.Equal(t, balance.RequestFailed, (<-s.lists).Scope)
 }
 
 // Crossing: SIGHUP changes the discovery address while a request has no response yet. The watcher sends a request to
@@ -185,41 +185,41 @@
 	from, chunk, _ := s.open()
 	require.Empty(t, from, "versions of the old address are not valid there")
 	chunk(s.list(7))
-	require.Equal(t, "t7", (<-s.groups).Targets[0].ID)
+	require.Equal(t, "t7", (<-s.lists).Targets[0].ID)
 }
 
 // Crossing: discovery reports a change while SIGHUP changes the address. What was written counts, so the old watch
-// is read until the new address has responded. It is no sign of life, and after that response nothing more of it
-// is reported.
+// is read until the new address has responded. It gives no heartbeat, and after that response nothing more of it is
+// reported.
 func TestChangeThatCrossesTheMove(t *testing.T) {
 	s := newFixture(t)
-	signs := make(chan float64, 9)
-	s.w.OnHeartbeat = func(readAt float64) { signs <- readAt }
+	heartbeats := make(chan float64, 9)
+	s.w.OnHeartbeat = func(readAt float64) { heartbeats <- readAt }
 	other, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer other.Close()
 	s.w.RequestWatch()
 	_, chunk, old := s.open()
 	chunk(s.list(42))
-	require.Positive(t, (<-s.groups).ReadAt)
+	require.Positive(t, (<-s.lists).ReadAt)
 	s.w.SetAddress(other.Addr().String())
 	chunk("\n")
 	chunk(s.list(43))
-	g := <-s.groups
+	g := <-s.lists
 	require.Equal(t, "t43", g.Targets[0].ID)
 	require.Zero(t, g.ReadAt)
 	s.ln = other
 	from, chunk, _ := s.open()
 	require.Empty(t, from)
 	chunk(s.list(7))
-	g = <-s.groups
+	g = <-s.lists
 	require.Equal(t, "t7", g.Targets[0].ID)
 	require.Positive(t, g.ReadAt)
 	_, err = old.Read(make([]byte, 1))
 	require.ErrorIs(t, err, io.EOF)
-	require.Empty(t, signs)
+	require.Empty(t, heartbeats)
 	chunk("\n")
-	require.Positive(t, <-signs)
+	require.Positive(t, <-heartbeats)
 }
 
 // Crossing: the address changes while the watch ends by itself. One request goes to the new address, none to the
@@ -238,7 +238,7 @@
 		from, chunk, _ := s.open()
 		require.Empty(t, from)
 		chunk(s.list(8))
-		for g := range s.groups {
+		for g := range s.lists {
 			if g.Scope != balance.RequestFailed {
 				require.Equal(t, "t8", g.Targets[0].ID)
 				break
@@ -249,12 +249,12 @@
 }
 
 // Reports of a watch are dated by the time of reading: a list by its first byte, however long the rest takes, and
-// an empty line as a sign of life. Bytes before the first list of a watch are no sign of life, as the changes
-// missed until then are unknown. The failure of a watch is none either.
-func TestSignsOfLifeAreDated(t *testing.T) {
+// an empty line as a heartbeat. Bytes before the first list of a watch are no heartbeat, as the changes missed
+// until then are unknown. The failure of a watch is none either.
+func TestHeartbeatTimes(t *testing.T) {
 	s := newFixture(t)
-	signs := make(chan float64, 9)
-	s.w.OnHeartbeat = func(readAt float64) { signs <- readAt }
+	heartbeats := make(chan float64, 9)
+	s.w.OnHeartbeat = func(readAt float64) { heartbeats <- readAt }
 	s.w.RequestWatch()
 	_, chunk, c := s.open()
 	chunk("\n")
@@ -264,26 +264,26 @@
 	s.awaitDeadlines(5, "and half a list")
 	s.clock.Advance(900)
 	chunk(s.list(42)[20:] + s.list(43)[:20])
-	require.Equal(t, 100.0, (<-s.groups).ReadAt)
+	require.Equal(t, 100.0, (<-s.lists).ReadAt)
 	s.clock.Advance(500)
 	chunk(s.list(43)[20:])
-	require.Equal(t, 1000.0, (<-s.groups).ReadAt, "it began where the previous list ended")
-	require.Empty(t, signs)
+	require.Equal(t, 1000.0, (<-s.lists).ReadAt, "it began where the previous list ended")
+	require.Empty(t, heartbeats)
 	s.clock.Advance(250)
 	chunk("\n")
-	require.Equal(t, 1750.0, <-signs)
+	require.Equal(t, 1750.0, <-heartbeats)
 	s.clock.Advance(2151)
 	c.Close()
-	require.Equal(t, balance.RequestFailed, (<-s.groups).Scope)
-	require.Empty(t, signs, "an empty line was overdue: the watch had fallen silent")
+	require.Equal(t, balance.RequestFailed, (<-s.lists).Scope)
+	require.Empty(t, heartbeats, "an empty line was overdue: the watch had fallen silent")
 }
 
 // The end of a watch that had not fallen silent shows that discovery had reported everything until then, whether
 // it ends with a close or a reset. An end inside a list shows nothing, nor does a close by the watcher.
-func TestWatchEndIsSignOfLife(t *testing.T) {
+func TestWatchEndIsHeartbeat(t *testing.T) {
 	for name, play := range map[string]struct {
-		ends func(s *fixture, chunk func(string), c net.Conn)
-		sign bool
+		ends      func(s *fixture, chunk func(string), c net.Conn)
+		heartbeat bool
 	}{
 		"closed": {func(_ *fixture, _ func(string), c net.Conn) { c.Close() }, true},
 		"reset": {func(_ *fixture, _ func(string), c net.Conn) {
@@ -301,22 +301,22 @@
 		}, false},
 	} {
 		s := newFixture(t)
-		signs := make(chan float64, 9)
-		s.w.OnHeartbeat = func(readAt float64) { signs <- readAt }
+		heartbeats := make(chan float64, 9)
+		s.w.OnHeartbeat = func(readAt float64) { heartbeats <- readAt }
 		s.w.RequestWatch()
 		_, chunk, c := s.open()
 		chunk(s.list(42))
-		<-s.groups
+		<-s.lists
 		s.clock.Advance(2149)
 		play.ends(s, chunk, c)
-		require.Equal(t, balance.RequestFailed, (<-s.groups).Scope, name)
-		if play.sign {
-			require.Len(t, signs, 1, name)
-			require.Equal(t, 2150.0, <-signs, name)
+		require.Equal(t, balance.RequestFailed, (<-s.lists).Scope, name)
+		if play.heartbeat {
+			require.Len(t, heartbeats, 1, name)
+			require.Equal(t, 2150.0, <-heartbeats, name)
 		} else {
-			for len(signs) > 0 {
+			for len(heartbeats) > 0 {
 				require.Equal(t, "closed by the watcher", name)
-				<-signs // the empty line itself
+				<-heartbeats // the empty line itself
 			}
 		}
 	}
--- a/internal/net/discovery/watch.go
+++ b/internal/net/discovery/watch.go
@@ -87,15 +87,15 @@
 	return err
 }
 
-// read delivers the lists as they arrive, and the signs of life between them. It calls extend at each, which
-// extends the deadline of the connection.
+// read delivers the lists as they arrive, and the heartbeats between them. It calls extend at each, which extends
+// the deadline of the connection.
 func (x *watch) read(body io.Reader, extend func() error) error {
 	monitor := &streamMonitor{r: body, now: x.Clock.Now, extend: extend}
 	if err := monitor.extend(); err != nil {
 		return err
 	}
-	gotList := false // before the first list, a sign of life does not cover what the list has missed
-	monitor.signOfLife = func() {
+	gotList := false // before the first list, a heartbeat does not cover what the list has missed
+	monitor.onHeartbeat = func() {
 		if gotList && x.OnHeartbeat != nil && x.isCurrent() {
 			x.OnHeartbeat(monitor.readAt)
 		}
@@ -105,7 +105,7 @@
 		if err := decoder.Decode(&list); err != nil {
 			if gotList && !monitor.inObject && closedByPeer(monitor.err) && x.Clock.Now() <= monitor.readAt+maxEmptyLineGap {
 				monitor.readAt = x.Clock.Now()
-				monitor.signOfLife() // the stream ended, and everything until then was reported
+				monitor.onHeartbeat() // the stream ended, and everything until then was reported
 			}
 			return x.readError(err, monitor.err)
 		}
@@ -142,15 +142,15 @@
 
 // deliver passes on a list whose first byte was read at startedAt.
 func (x *watch) deliver(list *List, startedAt float64) {
-	group, err := list.TargetGroup()
+	targets, err := list.TargetGroup()
 	if err != nil {
 		x.Log.Warn("list entry ignored", "cause", err)
 	}
 	if x.takeOver(list.Index) {
-		group.ReadAt = startedAt
+		targets.ReadAt = startedAt
 	}
 	x.Log.Info("list", "index", list.Index, "whole", list.Snapshot, "targets", len(list.Endpoints))
-	x.OnList(group)
+	x.OnList(targets)
 }
 
 // takeOver records the version of a list, and reports whether the watch is that of the current address. If it is,
--- a/internal/net/fleethost/fleethost.go
+++ b/internal/net/fleethost/fleethost.go
@@ -30,8 +30,9 @@
 	Clock clock.Clock
 	Log   *slog.Logger
 	Send  func(to int, raw string)
-	// Probe starts a probe of a target; Probed reports its result. Judge excludes a target for lasts milliseconds
-	// (0: includes it again). Both are nil if no scheduler examines targets. Neither may block on the host.
+	// Probe starts a probe of a target; ReportProbe reports its result. SetExcluded excludes a target for lasts
+	// milliseconds (0: includes it again). Both are nil if no scheduler examines targets. Neither may block on the
+	// host.
 	Probe       func(target string)
 	SetExcluded func(target string, lasts float64)
 	// SetShares reports the part of each tenant's requests that is within its share, for lasts milliseconds. Nil if
@@ -305,10 +306,10 @@
 	case fleet.FractionsChanged:
 		h.config.SetShares(action.Fractions, action.Lasts)
 		for name := range h.tenantIndex {
-			part, overShare := action.Fractions[name]
+			fraction, overShare := action.Fractions[name]
 			if overShare != h.overShare[name] {
 				h.overShare[name] = overShare
-				h.config.Log.Info("tenant judged", "duty", action.Duty, "number", action.Number, "tenant", name, "beyond", overShare, "part", cmp.Or(part, 1), "at", now)
+				h.config.Log.Info("tenant judged", "duty", action.Duty, "number", action.Number, "tenant", name, "beyond", overShare, "part", cmp.Or(fraction, 1), "at", now)
 			}
 		}
 	case fleet.ApplyRules:
--- a/internal/net/fleethost/fleethost_test.go
+++ b/internal/net/fleethost/fleethost_test.go
@@ -30,11 +30,11 @@
 	clock   *clock.Manual
 	running sync.WaitGroup
 
-	mu       sync.Mutex
-	silent   map[string]bool // targets that respond to no probe
-	excluded map[string]map[int]bool
-	parts    map[int]map[string]float64
-	applied  map[int]*rules.Doc
+	mu        sync.Mutex
+	silent    map[string]bool // targets that respond to no probe
+	excluded  map[string]map[int]bool
+	fractions map[int]map[string]float64
+	applied   map[int]*rules.Doc
 }
 
 type buffer struct {
@@ -55,7 +55,7 @@
 }
 
 func startFleet(t *testing.T, n int) *testFleet {
-	group := &testFleet{clock: clock.NewManual(1e9), silent: map[string]bool{}, excluded: map[string]map[int]bool{"a": {}, "b": {}, "c": {}, "d": {}}, parts: map[int]map[string]float64{}, applied: map[int]*rules.Doc{}}
+	group := &testFleet{clock: clock.NewManual(1e9), silent: map[string]bool{}, excluded: map[string]map[int]bool{"a": {}, "b": {}, "c": {}, "d": {}}, fractions: map[int]map[string]float64{}, applied: map[int]*rules.Doc{}}
 	for i := range n {
 		c := fleet.Config{Members: members.Default(), Lease: lease.Default()}
 		c.Members.Self, c.Members.Fleet = i, n
@@ -93,7 +93,7 @@
 			SetShares: func(parts map[string]float64, _ float64) {
 				group.mu.Lock()
 				defer group.mu.Unlock()
-				group.parts[i] = parts
+				group.fractions[i] = parts
 			}})
 		require.NoError(t, err)
 		group.hosts, group.logs = append(group.hosts, h), append(group.logs, log)
@@ -194,7 +194,7 @@
 	overShareAt := func(tenant string) (n int) {
 		group.mu.Lock()
 		defer group.mu.Unlock()
-		for _, p := range group.parts {
+		for _, p := range group.fractions {
 			if _, yes := p[tenant]; yes {
 				n++
 			}
--- a/internal/net/handover/handover_test.go
+++ b/internal/net/handover/handover_test.go
@@ -23,7 +23,7 @@
 type process struct {
 	mu         sync.Mutex
 	ready      bool
-	news       []core.TargetCallback
+	callbacks  []core.TargetCallback
 	maintained map[string]bool
 }
 
@@ -36,7 +36,7 @@
 func (p *process) ReceiveCallback(n core.TargetCallback) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.news = append(p.news, n)
+	p.callbacks = append(p.callbacks, n)
 }
 
 func (p *process) Maintain(target string, offline bool) {
@@ -88,19 +88,19 @@
 	require.True(t, second.OtherReady())
 	require.False(t, first.OtherReady())
 	require.Equal(t, []string{"s-1"}, second.Inherited())
-	news := core.TargetCallback{ID: "x", From: "s-1", Result: balance.OK, Body: "done", Report: balance.Report{Present: true, Free: 2, InFlight: 1}}
-	second.Forward(news)
+	callback := core.TargetCallback{ID: "x", From: "s-1", Result: balance.OK, Body: "done", Report: balance.Report{Present: true, Free: 2, InFlight: 1}}
+	second.Forward(callback)
 	second.Maintain("s-3", true)
-	news.PassedOn = true
+	callback.PassedOn = true
 	require.Eventually(t, func() bool {
 		older.mu.Lock()
 		defer older.mu.Unlock()
-		return len(older.news) == 1 && older.maintained["s-3"]
+		return len(older.callbacks) == 1 && older.maintained["s-3"]
 	}, waitTimeout, time.Millisecond)
-	require.Equal(t, []core.TargetCallback{news}, older.news)
-	require.Empty(t, newer.news)
-	require.Empty(t, otherScheduler.news, "another scheduler")
-	require.Empty(t, otherAddress.news, "another scheduler of the same name")
+	require.Equal(t, []core.TargetCallback{callback}, older.callbacks)
+	require.Empty(t, newer.callbacks)
+	require.Empty(t, otherScheduler.callbacks, "another scheduler")
+	require.Empty(t, otherAddress.callbacks, "another scheduler of the same name")
 	require.Eventually(t, func() bool { return second.Counts.PassedOn.Load() == 2 }, waitTimeout, time.Millisecond)
 }
 
--- a/internal/net/httpio/exchange.go
+++ b/internal/net/httpio/exchange.go
@@ -6,7 +6,7 @@
 	"cottonwell/balance"
 )
 
-// Exchange is what came back for an attempt, or how it ended without a response.
+// Exchange is the response to an attempt, or how the attempt ended without one.
 type Exchange string
 
 // The possible exchanges.
@@ -32,8 +32,8 @@
 }
 
 // outcomeTable is the protocol's table from exchange to outcome, and its only copy. The outcomes balance.Full,
-// NoConnection and NeverSent alone prove that the attempt never ran. Only on that proof is a purchase sent to
-// another pod or refused.
+// NoConnection and NeverSent are the only ones that prove that the attempt never ran. Only on that proof is a
+// purchase sent to another pod or refused.
 func outcomeTable() []outcomeRow {
 	return []outcomeRow{
 		{JobDone, balance.OK},
--- a/internal/net/httpio/httpio.go
+++ b/internal/net/httpio/httpio.go
@@ -1,6 +1,6 @@
 // Package httpio is the HTTP framing that all sides of the scheduler share. It is given connections and reads
-// requests and responses within limits, writes messages, and keeps the budget of sockets. It also maps what came
-// back for an attempt to its outcome. It does no routing and keeps no connection pools.
+// requests and responses within limits, writes messages, and keeps the budget of sockets. It also maps the exchange
+// of an attempt to its outcome. It does no routing and keeps no connection pools.
 package httpio
 
 import (
@@ -294,7 +294,7 @@
 // Buffer lends a buffer for a head. The caller returns it with Done.
 func (c *Conn) Buffer() *[buffer.Size]byte { return c.stack.Buffers.Get() }
 
-// Done takes back a buffer lent by Buffer.
+// Done returns a buffer lent by Buffer.
 func (c *Conn) Done(b *[buffer.Size]byte) { c.stack.Buffers.Put(b) }
 
 // Budget limits the number of sockets of one side.
--- a/internal/net/listener/listener.go
+++ b/internal/net/listener/listener.go
@@ -1,7 +1,7 @@
-// Package listener serves the clients' side of the platform's protocol over HTTP: jobs, the readiness page, and
-// the call-backs by which targets report the progress and outcome of a job. It is given accepted connections and a
-// budget of sockets. It passes each valid job and call-back to the core, and writes the core's answer as the
-// response. It chooses no targets and keeps no state of a job beyond its connection.
+// Package listener serves the clients' side of the platform's protocol over HTTP: jobs, the readiness page, and the
+// call-backs by which targets report the progress and outcome of a job. It is given accepted connections and a
+// budget of sockets. It passes each valid job and call-back to the core, and writes the core's response to the
+// client. It chooses no targets and keeps no state of a job beyond its connection.
 package listener
 
 import (
@@ -56,8 +56,8 @@
 }
 
 // Counts are the counters of a listener, for the log. Rejected counts requests with a client error, Evicted the
-// slots taken from inactive connections, Spared the connections closed because too many were idle, and TurnedOff
-// those rejected for lack of a slot.
+// slots taken from inactive connections, ClosedExcessIdle the connections closed because too many were idle, and
+// RefusedNoSlot those rejected for lack of a slot.
 type Counts struct {
 	Rejected, Evicted, ClosedExcessIdle, RefusedNoSlot atomic.Int64
 	Closes                                             httpio.Closes
@@ -87,11 +87,11 @@
 // request. Requests that have arrived are served.
 func (l *Listener) FinishShutdown() { l.slots.drain(true) }
 
-// ShuttingDown reports whether Wind was called.
+// ShuttingDown reports whether StartShutdown was called.
 func (l *Listener) ShuttingDown() bool { return l.slots.isShuttingDown() }
 
-// Busy returns the number of connections on which a request is read or served, or that are closing. After Shut it
-// includes those that wait for a first request.
+// Busy returns the number of connections on which a request is read or served, or that are closing. After
+// FinishShutdown it includes those that wait for a first request.
 func (l *Listener) Busy() int { return l.slots.busy() }
 
 // Serve accepts connections until ctx ends, then closes the remaining ones. After Accept has failed with a
@@ -306,22 +306,22 @@
 	return reply{status: http.StatusOK, text: "ready\n"}
 }
 
-// flowListener receives the core's answer to one flow.
-type flowListener struct{ answer chan core.Response }
+// flowReceiver receives the core's response to one flow.
+type flowReceiver struct{ response chan core.Response }
 
-// Respond implements core.Listener.
-func (e *flowListener) Respond(a core.Response) { e.answer <- a } // the channel has room for the one answer
+// Respond implements core.ResponseReceiver.
+func (e *flowReceiver) Respond(a core.Response) { e.response <- a } // the channel has a buffer for the only response
 
-// Progress implements core.Listener. This protocol has no message for progress.
-func (e *flowListener) Progress(core.Progress) {}
+// Progress implements core.ResponseReceiver. This protocol has no message for progress.
+func (e *flowReceiver) Progress(core.Progress) {}
 
-// serveFlow passes a job to the core, waits for its answer and writes that as the response. A client that closes
+// serveFlow passes a job to the core, waits for its response and writes that to the client. A client that closes
 // its side meanwhile counts as disconnected, even if it had pipelined another request.
 func (l *Listener) serveFlow(slot *connectionSlot, r *core.Request, lastRequest bool) bool {
 	c := slot.conn
-	listener := &flowListener{answer: make(chan core.Response, 1)}
-	r.Receiver = listener
-	// From TakeIn on, the core owns r. The deadline is set before, as a connection that is already broken must not
+	receiver := &flowReceiver{response: make(chan core.Response, 1)}
+	r.Receiver = receiver
+	// From Accept on, the core owns r. The deadline is set before, as a connection that is already broken must not
 	// start a job.
 	if err := c.SetReadDeadline(l.Clock.Deadline(r.ClientTimeoutMS + flowGrace)); err != nil {
 		r.Job.Body.Release()
@@ -335,9 +335,9 @@
 		overflowed, err = c.WatchClose()
 		disconnected <- err
 	}()
-	var answer core.Response
+	var coreResponse core.Response
 	select {
-	case answer = <-listener.answer:
+	case coreResponse = <-receiver.response:
 		c.Wake()
 		<-disconnected // even if the client has just closed, the response may still arrive: it may have closed only its sending side
 	case err := <-disconnected:
@@ -350,7 +350,7 @@
 		}
 		return false
 	}
-	response := fixedResponse(answer)
+	response := fixedResponse(coreResponse)
 	// During a graceful shutdown, the response is the best moment to close: no request can cross the close.
 	response.close = lastRequest || overflowed || l.slots.mustClose(slot)
 	switch {
@@ -364,7 +364,7 @@
 	return l.awaitNext(slot, true)
 }
 
-// fixedResponse returns the response for the core's answer.
+// fixedResponse returns the HTTP response for a response of the core.
 func fixedResponse(a core.Response) reply {
 	switch {
 	case a.Kind == core.Served:
--- a/internal/net/listener/parse.go
+++ b/internal/net/listener/parse.go
@@ -144,40 +144,40 @@
 	if err := json.NewDecoder(body.Reader()).Decode(&ev); err != nil {
 		return reply{status: http.StatusBadRequest, text: "not a job event\n"}
 	}
-	news, err := ev.targetNews()
+	callback, err := ev.targetCallback()
 	if err != nil {
 		return reply{status: http.StatusBadRequest, text: err.Error() + "\n"}
 	}
-	l.Core.ReceiveCallback(news)
+	l.Core.ReceiveCallback(callback)
 	return reply{status: http.StatusNoContent}
 }
 
-// targetNews converts a job event for the core. Package httpio has the table of outcomes.
-func (ev *jobEvent) targetNews() (core.TargetCallback, error) {
-	news := core.TargetCallback{ID: ev.ID, From: ev.From}
+// targetCallback converts a job event for the core. Package httpio has the table of outcomes.
+func (ev *jobEvent) targetCallback() (core.TargetCallback, error) {
+	callback := core.TargetCallback{ID: ev.ID, From: ev.From}
 	if ev.Load != nil {
-		news.Report = httpio.Load(ev.Load)
+		callback.Report = httpio.Load(ev.Load)
 	}
 	if ev.ID == "" || ev.From == "" {
-		return news, errors.New("a job event needs id and from")
+		return callback, errors.New("a job event needs id and from")
 	}
 	switch ev.State {
 	case "started":
-		news.Progress = &core.Progress{Started: true}
-		return news, nil
+		callback.Progress = &core.Progress{Started: true}
+		return callback, nil
 	case "running":
-		news.Progress = &core.Progress{Fraction: ev.Share}
-		return news, nil
+		callback.Progress = &core.Progress{Fraction: ev.Share}
+		return callback, nil
 	}
 	result, ok := httpio.Outcome(httpio.ForJobState(ev.State))
 	if !ok {
-		return news, fmt.Errorf("unknown state %q", ev.State)
+		return callback, fmt.Errorf("unknown state %q", ev.State)
 	}
-	news.Result = result
+	callback.Result = result
 	if result == balance.OK {
-		news.Body = ev.Result
+		callback.Body = ev.Result
 	}
-	return news, nil
+	return callback, nil
 }
 
 // retryAfterSeconds formats milliseconds for Retry-After: as an integer where it is whole, otherwise as a decimal.
--- a/internal/net/target/idlestats.go
+++ b/internal/net/target/idlestats.go
@@ -2,10 +2,10 @@
 
 import "sync"
 
-// idleStats learns for how long a connection may be idle before reuse becomes risky. Targets and intermediaries
-// may drop an idle connection without notice, long before the limit in the settings. The next request on it then
-// ends as a reset, and a purchase that may have run can no longer move to another pod. Breaks that occur at any
-// idle time say nothing about idleness, so idle times are compared with one another.
+// idleStats learns for how long a connection may be idle before reuse becomes risky. Targets and intermediaries may
+// drop an idle connection without notice, long before the limit in the settings. The next request on it then ends
+// as a reset, and a purchase that may have run can no longer move to another pod. Breaks that occur at any idle
+// time are no evidence about idleness, so idle times are compared with one another.
 type idleStats struct {
 	mu       sync.Mutex
 	buckets  [len(bucketEnds) + 1]idleBucket
--- a/internal/net/target/target.go
+++ b/internal/net/target/target.go
@@ -95,12 +95,12 @@
 	return len(t.running)
 }
 
-// Listed implements core.Transport.
-func (t *Transport) Listed(group core.TargetList) {
+// Listed implements core.Transport: it applies a target list or changes to it.
+func (t *Transport) Listed(list core.TargetList) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	seen := map[string]bool{}
-	for _, listed := range group.Targets {
+	for _, listed := range list.Targets {
 		seen[listed.ID] = true
 		target := t.targets[listed.ID]
 		if target == nil {
@@ -122,7 +122,7 @@
 			target.removed = false
 		}
 	}
-	if group.Scope == balance.Changes {
+	if list.Scope == balance.Changes {
 		return
 	}
 	for name, target := range t.targets {
@@ -362,8 +362,9 @@
 	go t.cancel(a, running)
 }
 
-// cancel ends the attempt by the means that its stage needs: it stops one that is not sent, closes the connection of
-// one without a 202, and sends DELETE for an accepted job. An Unsent cancellation leaves what was sent alone.
+// cancel ends the attempt by the means that its stage needs: it stops one that is not sent, closes the connection
+// of one without a 202, and sends DELETE for an accepted job. With OnlyIfUnsent set, it does not touch an attempt
+// whose request is being sent or has been sent.
 func (t *Transport) cancel(a core.Attempt, running *attempt) {
 	if !a.OnlyIfUnsent {
 		defer t.forget(a.AttemptRef)
--- a/internal/net/target/target_test.go
+++ b/internal/net/target/target_test.go
@@ -235,12 +235,12 @@
 // Idle connections that targets drop long before the limit in the settings end in a reset each. So idle times at
 // which many connections break are not used. Breaks at every idle time must not end reuse altogether.
 func TestConnectionsRestOnlyAsLongAsTheyLast(t *testing.T) {
-	play := func(r *idleStats, now, rested float64, kept, broken int) {
-		for range kept {
-			r.record(now, rested, false)
+	play := func(r *idleStats, now, idleTime float64, intact, broken int) {
+		for range intact {
+			r.record(now, idleTime, false)
 		}
 		for range broken {
-			r.record(now, rested, true)
+			r.record(now, idleTime, true)
 		}
 	}
 	r := &idleStats{}
