--- a/cmd/cottonlab/up.go
+++ b/cmd/cottonlab/up.go
@@ -19,8 +19,8 @@
 
 // localSite is the file of a site for manual tests.
 type localSite struct {
-	Site emulator.Spec        `toml:"shop"`
-	Room *config.Reservations `toml:"room"`
+	Site         emulator.Spec        `toml:"shop"`
+	Reservations *config.Reservations `toml:"room"`
 }
 
 // up starts a site and its schedulers, repeats the site's load and prints counters every second until ctx ends.
@@ -44,7 +44,7 @@
 			return usageError(err)
 		}
 	}
-	testbed, err := experiment.StartReady(ctx, &site.Site, options.Seed, &experiment.Variant{Name: "local", Room: site.Room}, options)
+	testbed, err := experiment.StartReady(ctx, &site.Site, options.Seed, &experiment.Variant{Name: "local", Reservations: site.Reservations}, options)
 	if err != nil {
 		return err
 	}
--- a/cmd/cottonwell/leases.go
+++ b/cmd/cottonwell/leases.go
@@ -20,8 +20,8 @@
 )
 
 // listLease returns the time in milliseconds for which a list is valid after the last message from discovery. It is 0, for no
-// limit, without discovery. It applies to agents that push their lists as well: changes that a silent watch there has missed
-// count as notified, too.
+// limit, without discovery. It applies to agents that push their lists as well: the scheduler counts as notified even of
+// changes that a silent watch there has missed.
 func listLease(cfg *config.Config) float64 {
 	if cfg.Discovery == "" {
 		return 0
--- a/cmd/cottonwell/rules_test.go
+++ b/cmd/cottonwell/rules_test.go
@@ -33,7 +33,7 @@
 	attemptsByKind map[string]int // by kind of target
 }
 
-// requestRecord holds what the checker knows about one request.
+// requestRecord is the checker's record of one request.
 type requestRecord struct {
 	purchase                bool
 	submittedAt             time.Time
--- a/cmd/cottonwell/serve.go
+++ b/cmd/cottonwell/serve.go
@@ -40,7 +40,7 @@
 	// maxJobGrace limits the part of the longest class deadline that counts: SIGKILL follows SIGTERM after minGracePeriod
 	// plus the longest deadline, up to maxJobGrace, at the earliest.
 	maxJobGrace      = 3000.0
-	closeLead        = 700.0  // before SIGKILL: connections are no longer kept, and open requests are completed
+	closeLead        = 700.0  // before SIGKILL: connections are no longer kept alive, and open requests are completed
 	finishLead       = 300.0  // before SIGKILL: unfinished requests get their final response
 	exitLead         = 60.0   // before SIGKILL: the program exits, whatever connections are still open
 	firstListTimeout = 4000.0 // maximum wait for a list that is valid, before clients are accepted without one
@@ -175,10 +175,10 @@
 		Sockets:     httpio.NewBudget(connections * 2 / 5),
 		DialTimeout: clock.Millis(cfg.Settings.DialTimeout), IdleTimeout: clock.Millis(cfg.Settings.ConnIdle)})
 	s.watcher = discovery.New(discovery.Config{Address: cfg.Discovery, Clock: clk, Log: log, Stack: stack,
-		HasList: len(cfg.Known.Endpoints) > 0, FromVersion: cfg.Known.Index, OnList: func(g core.TargetList) { sink.UpdateTargets("discovery", g) },
+		HasList: len(cfg.Known.Endpoints) > 0, FromVersion: cfg.Known.Index, OnList: func(list core.TargetList) { sink.UpdateTargets("discovery", list) },
 		OnHeartbeat:     func(readAt float64) { sink.Heartbeat("discovery", readAt) },
 		OnAddressChange: func() { sink.DiscoveryAddressChanged("discovery") }})
-	knownGroup, err := cfg.Known.TargetGroup()
+	knownList, err := cfg.Known.TargetGroup()
 	if err != nil {
 		log.Warn("entry of the known list ignored", "cause", err)
 	}
@@ -216,7 +216,7 @@
 		}
 	}
 	coreConfig := core.Config{SendToPeers: sendToPeers, Planner: operator.PlannerConfig(), Settings: cfg.Settings, Seed: cfg.Seed, Clock: clk, Log: log, Invariants: invariants,
-		RetryAfterMS: defaultRetryAfter, StoredLists: map[string]core.TargetList{"discovery": knownGroup}, ListLease: listLease(cfg), UnwatchedLease: unwatchedLease(cfg), AddressChangeLease: previousAddressLease(cfg)}
+		RetryAfterMS: defaultRetryAfter, StoredLists: map[string]core.TargetList{"discovery": knownList}, ListLease: listLease(cfg), UnwatchedLease: unwatchedLease(cfg), AddressChangeLease: previousAddressLease(cfg)}
 	if cfg.Control != "" {
 		coreConfig.ForwardUnmatched = s.forwardUnmatched
 	}
--- a/cmd/cottonwell/takeover.go
+++ b/cmd/cottonwell/takeover.go
@@ -39,9 +39,11 @@
 
 var _ handover.Process = handoverProcess{}
 
-func (s handoverProcess) Ready() bool                              { return s.listener.Ready() && !s.listener.ShuttingDown() }
-func (s handoverProcess) ReceiveCallback(news core.TargetCallback) { s.core.ReceiveCallback(news) }
-func (s handoverProcess) Maintained() []string                     { return s.core.Maintained() }
+func (s handoverProcess) Ready() bool { return s.listener.Ready() && !s.listener.ShuttingDown() }
+func (s handoverProcess) ReceiveCallback(callback core.TargetCallback) {
+	s.core.ReceiveCallback(callback)
+}
+func (s handoverProcess) Maintained() []string { return s.core.Maintained() }
 func (s handoverProcess) Maintain(target string, offline bool) {
 	if offline {
 		s.core.InheritOffline(target)
@@ -51,9 +53,9 @@
 }
 
 // forwardUnmatched forwards a report on a job that is unknown in this process to the scheduler's other process.
-func (s *scheduler) forwardUnmatched(news core.TargetCallback) {
+func (s *scheduler) forwardUnmatched(callback core.TargetCallback) {
 	if s.handover != nil {
-		s.handover.Forward(news)
+		s.handover.Forward(callback)
 	}
 }
 
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -41,17 +41,17 @@
 
 // host contains the instances of this process and the list buffers of the wire.
 type host struct {
-	instances  map[int]*instance
-	lists      [16][]balance.Member
-	out        *wire.Writer
-	actions    []balance.Action
-	roomConfig *backfill.Config // of reservations; nil if disabled
+	instances     map[int]*instance
+	lists         [16][]balance.Member
+	out           *wire.Writer
+	actions       []balance.Action
+	plannerConfig *backfill.Config // of reservations; nil if disabled
 }
 
 // serve reads batches from r until r ends, and prints the reply to each to w.
-func serve(r io.Reader, w io.Writer, roomConfig *backfill.Config) error {
+func serve(r io.Reader, w io.Writer, plannerConfig *backfill.Config) error {
 	reader := wire.NewReader(r)
-	h := &host{instances: map[int]*instance{}, out: wire.NewWriter(w), roomConfig: roomConfig}
+	h := &host{instances: map[int]*instance{}, out: wire.NewWriter(w), plannerConfig: plannerConfig}
 	var batch wire.Item
 	for {
 		item, err := reader.Next()
@@ -91,7 +91,7 @@
 		delete(h.instances, item.Instance)
 		return nil
 	case wire.Start:
-		decider, err := decision.New(item.Settings, item.Seed, h.roomConfig)
+		decider, err := decision.New(item.Settings, item.Seed, h.plannerConfig)
 		if err != nil {
 			return fmt.Errorf("dispatcher %d: %w", item.Instance, err)
 		}
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -150,9 +150,9 @@
 	self := s.Self
 	cfg := fleet.Config{Members: members.Default(), Lease: lease.Default(), Addresses: peers}
 	cfg.Members.Self, cfg.Members.Fleet, cfg.Members.Seed = self, len(peers), seed
-	lifeHash := fnv.New32a()
-	fmt.Fprintf(lifeHash, "life %d", seed) // the seed differs at each start
-	cfg.Lease.Self, cfg.Lease.Fleet, cfg.Lease.Seed, cfg.Lease.RunID = self, len(peers), seed, lifeHash.Sum32()
+	runIDHash := fnv.New32a()
+	fmt.Fprintf(runIDHash, "life %d", seed) // the seed differs at each start
+	cfg.Lease.Self, cfg.Lease.Fleet, cfg.Lease.Seed, cfg.Lease.RunID = self, len(peers), seed, runIDHash.Sum32()
 	cfg.Lease.Voters = min(cfg.Lease.Voters, max(1, len(peers)))
 	if f.Voters != nil {
 		cfg.Lease.Voters = *f.Voters
--- a/internal/config/reservations.go
+++ b/internal/config/reservations.go
@@ -20,13 +20,13 @@
 	SmallDrop   *units.Share  `toml:"small_drop,omitempty"`
 }
 
-var roomModes = map[string]backfill.Mode{"": backfill.Backfill, "backfill": backfill.Backfill, "no-backfill": backfill.NoBackfill, "emptying": backfill.Emptying}
+var backfillModes = map[string]backfill.Mode{"": backfill.Backfill, "backfill": backfill.Backfill, "no-backfill": backfill.NoBackfill, "emptying": backfill.Emptying}
 
 // PlannerConfig returns the planner's configuration without the classes and the scheduler's number, which
 // come from the settings.
 func (r *Reservations) PlannerConfig() *backfill.Config {
 	cfg := backfill.Default()
-	cfg.Mode = roomModes[r.Mode]
+	cfg.Mode = backfillModes[r.Mode]
 	if r.LargeSlots != nil {
 		cfg.LargeSlots = *r.LargeSlots
 	}
@@ -43,7 +43,7 @@
 
 // check returns an error if the section is invalid with these settings.
 func (r *Reservations) check(s *balance.Settings) error {
-	if _, ok := roomModes[r.Mode]; !ok {
+	if _, ok := backfillModes[r.Mode]; !ok {
 		return fmt.Errorf("room.mode is %q, and may be backfill, no-backfill or emptying", r.Mode)
 	}
 	cfg := r.PlannerConfig()
--- a/internal/emulatedsite/clients.go
+++ b/internal/emulatedsite/clients.go
@@ -16,8 +16,8 @@
 )
 
 // RunLoad sends the load, each request at its arrival time, and returns the result. It returns after the
-// final response of the last request, or stops sending when ctx is done. If onFinished is not nil, Play
-// calls it with the status of each finished request; 0 means no response.
+// final response of the last request, or stops sending when ctx is done. If onFinished is not nil,
+// RunLoad calls it with the status of each finished request; 0 means no response.
 func (s *Site) RunLoad(ctx context.Context, seed uint64, onFinished func(status int)) *emulator.Result {
 	result := emulator.NewResult(s.spec)
 	s.mu.Lock()
--- a/internal/emulatedsite/site.go
+++ b/internal/emulatedsite/site.go
@@ -4,7 +4,7 @@
 // schedulers pass through links with delay and loss.
 //
 // Open takes an emulator.Spec and binds the sockets, Config returns the configuration of a scheduler,
-// and Play sends the load and returns an emulator.Result. Clients send each request at its drawn time,
+// and RunLoad sends the load and returns an emulator.Result. Clients send each request at its drawn time,
 // independent of the outcomes of other requests.
 //
 // The package starts no scheduler processes. Faults of these processes (kill, stall, restart) are up to
--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -106,7 +106,7 @@
 	}
 }
 
-func (r *Result) addRoom(p *backfill.Planner) {
+func (r *Result) addReservations(p *backfill.Planner) {
 	counts := &p.Counts
 	r.Reservations.Reserved += counts.Reserved
 	r.Reservations.Moved += counts.Moved
--- a/internal/emulator/simulation.go
+++ b/internal/emulator/simulation.go
@@ -50,7 +50,7 @@
 func toDuration(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
 // Simulation runs the emulated site in virtual time against schedulers in the same process. The same Spec,
-// seed and plan give the same Result.
+// seed and planner configuration give the same Result.
 type Simulation struct {
 	spec  *Spec
 	links *faults.DatagramFaults // between the schedulers
@@ -65,7 +65,7 @@
 	Result      Result
 }
 
-// simWorker is a worker in a World, with its reported load and its scheduled events. Times are virtual ms.
+// simWorker is a worker in a Simulation, with its reported load and its scheduled events. Times are virtual ms.
 type simWorker struct {
 	*Worker
 	spec           WorkerSpec
@@ -77,7 +77,7 @@
 	discoveryState balance.State // state that discovery announces
 }
 
-// Policy decides for one scheduler. It is either decide.Decider or a policy to compare it with.
+// Policy decides for one scheduler. It is either decision.Decider or a policy to compare it with.
 type Policy interface {
 	// Step processes one event at the given time and appends the resulting actions to acts.
 	Step(now time.Duration, ev *balance.Event, acts []balance.Action) []balance.Action
@@ -119,8 +119,8 @@
 	result     balance.Result
 }
 
-// NewSimulation returns a World that is ready to Run. If plan is nil, the schedulers make no reservations.
-func NewSimulation(spec *Spec, seed uint64, plan *backfill.Config) (*Simulation, error) {
+// NewSimulation returns a Simulation that is ready to Run. If plannerConfig is nil, the schedulers make no reservations.
+func NewSimulation(spec *Spec, seed uint64, plannerConfig *backfill.Config) (*Simulation, error) {
 	if err := spec.Check(); err != nil {
 		return nil, err
 	}
@@ -142,7 +142,7 @@
 	for i := range spec.Schedulers {
 		s := &scheduler{index: i, notReadySince: map[string]float64{}, knownStart: map[string]float64{}}
 		w.schedulers = append(w.schedulers, s)
-		if err := w.start(s, seed, plan); err != nil {
+		if err := w.start(s, seed, plannerConfig); err != nil {
 			return nil, err
 		}
 	}
@@ -151,17 +151,17 @@
 		id := uint64(i + 1)
 		w.After(a.At, func() { w.arrive(id, a, start+a.At, 0) })
 	}
-	w.scheduleFaults(seed, plan)
+	w.scheduleFaults(seed, plannerConfig)
 	return w, nil
 }
 
 // start starts the process of a scheduler, without state from an earlier incarnation.
-func (w *Simulation) start(s *scheduler, seed uint64, plan *backfill.Config) error {
+func (w *Simulation) start(s *scheduler, seed uint64, plannerConfig *backfill.Config) error {
 	settings, schedulerSeed := w.spec.Settings(s.index), seed+uint64(s.index)*77+uint64(s.incarnation)
 	if w.spec.newPolicy != nil {
 		s.policy = w.spec.newPolicy(settings, schedulerSeed)
 	} else {
-		decider, err := decision.New(settings, schedulerSeed, plan)
+		decider, err := decision.New(settings, schedulerSeed, plannerConfig)
 		if err != nil {
 			return err
 		}
@@ -179,7 +179,7 @@
 }
 
 // Run runs the simulation until every request has its final response, and returns the Result. It stops at
-// the latest 20 s after the end of the load and counts the open requests as unanswered.
+// the latest 20 s after the end of the load and records the requests that are still open as violations ("unanswered").
 func (w *Simulation) Run() *Result {
 	end := w.Now + float64(w.spec.Length) + 20_000
 	for w.Now < end && (w.openFlows > 0 || w.Now < end-20_000) && w.Next(math.Inf(1)) {
@@ -189,7 +189,7 @@
 	}
 	for _, s := range w.schedulers {
 		if d, ok := s.policy.(*decision.Decider); ok && d.Planner() != nil {
-			w.Result.addRoom(d.Planner())
+			w.Result.addReservations(d.Planner())
 		}
 	}
 	w.Result.finish()
--- a/internal/emulator/simulation_test.go
+++ b/internal/emulator/simulation_test.go
@@ -23,17 +23,17 @@
 		Tenants: []TenantSpec{{Name: "cricket-league", Share: 0.5}, {Name: "tuk-race", Share: 0.5}}}
 }
 
-func simulate(t *testing.T, s *Spec, seed uint64, plan *backfill.Config) *Result {
-	w, err := NewSimulation(s, seed, plan)
+func simulate(t *testing.T, s *Spec, seed uint64, plannerConfig *backfill.Config) *Result {
+	w, err := NewSimulation(s, seed, plannerConfig)
 	require.NoError(t, err)
 	return w.Run()
 }
 
 func TestSameSeedGivesSameResult(t *testing.T) {
-	plan := backfill.Default()
+	plannerConfig := backfill.Default()
 	s := smallSite()
 	s.SiteFaults = []SiteFaultSpec{{Kind: "crash", At: 2000, Duration: 3500, Fraction: 0.22}, {Kind: "late-reports", At: 2000, Duration: 3500, Delay: 1500}}
-	one, two := simulate(t, s, 5, &plan), simulate(t, s, 5, &plan)
+	one, two := simulate(t, s, 5, &plannerConfig), simulate(t, s, 5, &plannerConfig)
 	for _, r := range []*Result{one, two} {
 		r.Small.latencies, r.Large.latencies, r.WithinAllowance.latencies = nil, nil, nil
 	}
@@ -74,10 +74,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			plan := backfill.Default()
+			plannerConfig := backfill.Default()
 			s := smallSite()
 			change(s)
-			r := simulate(t, s, 11, &plan)
+			r := simulate(t, s, 11, &plannerConfig)
 			require.Empty(t, r.Violations)
 			require.Greater(t, r.Small.Requests, 1000)
 			if name != "overload" {
--- a/internal/emulator/sitefaults.go
+++ b/internal/emulator/sitefaults.go
@@ -12,17 +12,17 @@
 )
 
 // scheduleFaults schedules the faults of the specification that act on workers and scheduler processes.
-func (w *Simulation) scheduleFaults(seed uint64, plan *backfill.Config) {
+func (w *Simulation) scheduleFaults(seed uint64, plannerConfig *backfill.Config) {
 	rng := rand.New(rand.NewPCG(seed, 0x7ab))
 	for _, t := range w.spec.SiteFaults {
-		workerCount := int(math.Ceil(float64(t.Fraction) * float64(len(w.workers))))
-		selected := rng.Perm(len(w.workers))[:min(workerCount, len(w.workers))]
+		schedulerIndex := int(math.Ceil(float64(t.Fraction) * float64(len(w.workers))))
+		selected := rng.Perm(len(w.workers))[:min(schedulerIndex, len(w.workers))]
 		switch t.Kind {
 		case "crash":
 			for _, i := range selected {
 				p := w.workers[i]
 				w.After(float64(t.At), func() {
-					p.Kill(w.Now, func(_ float64, workerCount JobEvent) { w.handleJobEvent(p, workerCount) })
+					p.Kill(w.Now, func(_ float64, schedulerIndex JobEvent) { w.handleJobEvent(p, schedulerIndex) })
 					w.announce(p, balance.Gone)
 				})
 				w.After(float64(t.At+t.Duration), func() {
@@ -58,30 +58,30 @@
 				}
 			}
 		case "scheduler":
-			w.scheduleKill(w.schedulers[rng.IntN(len(w.schedulers))], t.At, t.Duration, seed, plan)
+			w.scheduleKill(w.schedulers[rng.IntN(len(w.schedulers))], t.At, t.Duration, seed, plannerConfig)
 		}
 	}
 	for _, f := range w.spec.SchedulerFaults {
 		if f.Kind == faults.Kill {
-			for _, workerCount := range f.From {
-				w.scheduleKill(w.schedulers[workerCount], f.At, f.Lasts, seed, plan)
+			for _, schedulerIndex := range f.From {
+				w.scheduleKill(w.schedulers[schedulerIndex], f.At, f.Lasts, seed, plannerConfig)
 			}
 		}
 	}
 }
 
 // scheduleKill schedules the kill of a scheduler and its restart without any state after the given duration.
-func (w *Simulation) scheduleKill(s *scheduler, atMillis, duration units.Millis, seed uint64, plan *backfill.Config) {
+func (w *Simulation) scheduleKill(s *scheduler, atMillis, duration units.Millis, seed uint64, plannerConfig *backfill.Config) {
 	w.After(float64(atMillis), func() { w.kill(s) })
 	w.After(float64(atMillis+duration), func() {
 		// The settings were valid at the first start, so they are valid now.
-		if err := w.start(s, seed+1, plan); err != nil {
+		if err := w.start(s, seed+1, plannerConfig); err != nil {
 			panic(fmt.Sprintf("emulator: restart of a scheduler failed: %v", err))
 		}
 	})
 }
 
-// kill ends a scheduler process. Its open requests are lost, and come again at another scheduler.
+// kill ends a scheduler process. Its open requests are lost, and are sent again to another scheduler.
 func (w *Simulation) kill(s *scheduler) {
 	s.alive = false
 	for _, f := range w.flows {
--- a/internal/emulator/spec.go
+++ b/internal/emulator/spec.go
@@ -41,7 +41,7 @@
 	Isolated             bool            `toml:"apart"`       // schedulers exchange no messages, and only probe responses report load
 	// OverloadByRequests makes cold workers collapse by the number of requests, as the platform counts, instead of by their work.
 	OverloadByRequests bool `toml:"fall_by_requests"`
-	// newPolicy returns the policy of one scheduler. If it is nil, each scheduler uses decide.Decider.
+	// newPolicy returns the policy of one scheduler. If it is nil, each scheduler uses decision.Decider.
 	newPolicy func(s balance.Settings, seed uint64) Policy
 }
 
@@ -171,7 +171,7 @@
 	}
 	for _, t := range s.SiteFaults {
 		if !siteFaultKinds[t.Kind] {
-			return fmt.Errorf("no trouble is called %q", t.Kind)
+			return fmt.Errorf("unknown kind of trouble %q", t.Kind)
 		}
 	}
 	if err := s.SchedulerFaults.Check(s.Schedulers); err != nil {
@@ -247,7 +247,7 @@
 }
 
 // Arrivals draws a load from a seed: Poisson arrivals whose work amounts to Level.
-// If Wide is set, jobs of the maximum number of slots make up that share of the work.
+// If WideShare is set, jobs of the maximum number of slots make up that share of the work.
 func (s *Spec) Arrivals(seed uint64) (out []Arrival) {
 	rng := rand.New(rand.NewPCG(seed, 0x5eed))
 	widest := s.MaxSlots()
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -1,11 +1,11 @@
 // Package emulator simulates a site with its load: workers with slots, memory and a queue, clients,
 // discovery, and a network that delays and drops messages.
 //
-// A Spec, read from an experiment file, describes the site. World runs it in virtual time against
+// A Spec, read from an experiment file, describes the site. Simulation runs it in virtual time against
 // schedulers in the same process and returns a Result: served requests, latencies, reservation
 // counters and rule violations. The same Spec and seed give the same Result.
 //
-// The package does no I/O. Package shopfront runs the same workers and load on loopback sockets,
+// The package does no I/O. Package emulatedsite runs the same workers and load on loopback sockets,
 // against real scheduler processes.
 package emulator
 
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -4,8 +4,8 @@
 // scheduler processes on loopback sockets or with the decision module in virtual time, and returns a Summary with
 // the results of all runs and of the file's checks. A Summary can be written, read back, turned into a report with
 // charts, and compared with another one. StartReady starts a Testbed alone, an emulated site with scheduler
-// processes, without an experiment. Package lab does not emulate the site itself (see emulator and shopfront) and
-// defines no faults (see faults).
+// processes, without an experiment. The package does not emulate the site itself (see emulator and
+// emulatedsite) and defines no faults (see faults).
 package experiment
 
 import (
@@ -44,9 +44,9 @@
 
 // Variant is one configuration of the schedulers.
 type Variant struct {
-	Name  string               `toml:"name"`
-	Room  *config.Reservations `toml:"room"`
-	Fleet *config.Fleet        `toml:"fleet"`
+	Name         string               `toml:"name"`
+	Reservations *config.Reservations `toml:"room"`
+	Fleet        *config.Fleet        `toml:"fleet"`
 	// Tags are build tags for a scheduler program that is faulty on purpose. Violations in its runs count only in
 	// checks that name the variant. The experiment must run in the project's folder, where the program is built.
 	Tags string `toml:"tags"`
@@ -186,7 +186,7 @@
 			return fmt.Errorf("fleet.rules.file %q: want a file name without a folder", r.File)
 		}
 	}
-	p := v.roomConfig()
+	p := v.plannerConfig()
 	if p == nil {
 		return nil
 	}
@@ -196,12 +196,12 @@
 	return p.Check()
 }
 
-// roomConfig returns the reservation settings of the variant, or nil if reservations are disabled.
-func (v *Variant) roomConfig() *backfill.Config {
-	if v.Room == nil {
+// plannerConfig returns the reservation settings of the variant, or nil if reservations are disabled.
+func (v *Variant) plannerConfig() *backfill.Config {
+	if v.Reservations == nil {
 		return nil
 	}
-	return v.Room.PlannerConfig()
+	return v.Reservations.PlannerConfig()
 }
 
 // cells returns the combinations of the sweep's values. An empty sweep yields one cell, the site as configured.
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -58,7 +58,7 @@
 		"invalid room setting":       {`large_slots = 4.0`, `confidence = "10%"`, `variant "room": room.confidence`},
 		"unknown engine":             {`"model"`, `"paper"`, `engine "paper": want sockets or model`},
 		"unknown order":              {`queue = 16`, "queue = 16\norder = \"lifo\"", `order "lifo"`},
-		"unknown trouble":            {`[[variant]]`, "[[shop.trouble]]\nkind = \"flood2\"\n[[variant]]", `no trouble is called "flood2"`},
+		"unknown trouble":            {`[[variant]]`, "[[shop.trouble]]\nkind = \"flood2\"\n[[variant]]", `unknown kind of trouble "flood2"`},
 		"unknown variant":            {`[[variant]]`, "[[check]]\nname = \"c\"\nfigure = \"broken\"\nvariant = \"x\"\nmax = \"1%\"\n[[variant]]", `check "c": unknown variant`},
 		"unknown figure":             {`[[variant]]`, "[[check]]\nname = \"c\"\nfigure = \"joy\"\nvariant = \"none\"\nmax = \"1%\"\n[[variant]]", `unknown figure "joy"`},
 		"check without bound":        {`[[variant]]`, "[[check]]\nname = \"c\"\nfigure = \"broken\"\nvariant = \"none\"\n[[variant]]", "want either min or max"},
--- a/internal/experiment/faultrun.go
+++ b/internal/experiment/faultrun.go
@@ -132,7 +132,7 @@
 	t.events = append(t.events, e)
 }
 
-// runUnderFaults plays the load of one run under faults. It then reads the logs of the schedulers and checks
+// runUnderFaults runs the load of one run under faults. It then reads the logs of the schedulers and checks
 // which duties each believed that it held.
 func (t *Testbed) runUnderFaults(ctx context.Context, script faults.Script, seed uint64, duties []string, e *Experiment, v *Variant) (*emulator.Result, *logcheck.Result, error) {
 	begin := nowMS()
--- a/internal/experiment/faultrun_test.go
+++ b/internal/experiment/faultrun_test.go
@@ -142,12 +142,12 @@
 
 // A program that is faulty on purpose, whose suspended holders still believe that they hold the duty after the
 // lease: the checker finds two holders.
-func TestTheRigFindsTwoHolders(t *testing.T) {
+func TestCheckFindsTwoHoldersOfADuty(t *testing.T) {
 	require.Positive(t, runThreeProcesses(t, "wrong_trust").Runs[0].Fleet.DoubleHolders)
 }
 
-// A program that is faulty on purpose and accepts acts under any number: the checker finds acts that arrive late.
-func TestTheRigFindsOldActs(t *testing.T) {
+// A program that is faulty on purpose and accepts acts under any number: the checker finds acts under stale numbers.
+func TestCheckFindsStaleActs(t *testing.T) {
 	require.Positive(t, runThreeProcesses(t, "wrong_fence").Runs[0].Fleet.StaleActs)
 }
 
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -150,7 +150,7 @@
 	return names, nil
 }
 
-// barChart draws the shares of large and of small jobs in time, by variant, and returns the file name.
+// barChart draws the shares of large and of small jobs that were served within their latency targets, by variant, and returns the file name.
 func (s *Summary) barChart(dir string, c Cell) ([]string, error) {
 	p := plot.New()
 	p.Title.Text, p.Y.Label.Text = "responses within the latency target", "%"
--- a/internal/experiment/testbed.go
+++ b/internal/experiment/testbed.go
@@ -149,7 +149,7 @@
 func (e *Experiment) runOne(ctx context.Context, options Options, r *Run) (*emulator.Result, error) {
 	v, spec := e.variant(r.Variant), e.spec(r.Cell, options.Quick)
 	if e.Engine == "model" {
-		w, err := emulator.NewSimulation(spec, r.Seed, v.roomConfig())
+		w, err := emulator.NewSimulation(spec, r.Seed, v.plannerConfig())
 		if err != nil {
 			return nil, err
 		}
@@ -243,10 +243,10 @@
 	}
 	t.Site.Run()
 	t.args = []string{"serve", "--log", "warn"}
-	if v != nil && v.Fleet != nil { // rig reads the debug log
+	if v != nil && v.Fleet != nil { // logcheck reads the debug log
 		t.args, t.logDir = []string{"serve", "--log", "debug"}, t.tempDir
 	}
-	if v != nil && (v.Room != nil || v.Fleet != nil) {
+	if v != nil && (v.Reservations != nil || v.Fleet != nil) {
 		if v.Fleet != nil && v.Fleet.Rules != nil {
 			if err := writeRules(filepath.Join(t.tempDir, v.Fleet.Rules.File), spec.Classes[0].Name, 3, 0); err != nil {
 				return nil, err
@@ -258,8 +258,8 @@
 			return nil, err
 		}
 		sections := map[string]any{}
-		if v.Room != nil {
-			sections["room"] = v.Room
+		if v.Reservations != nil {
+			sections["room"] = v.Reservations
 		}
 		if v.Fleet != nil {
 			sections["fleet"] = v.Fleet
--- a/internal/faults/faults.go
+++ b/internal/faults/faults.go
@@ -2,8 +2,8 @@
 // schedulers, of connections to discovery and to targets, and of the scheduler processes. Each
 // direction of a link has its own faults.
 //
-// Draw and DrawConnectionFaults generate a Script from a seed. Net applies a script to datagrams and
-// returns when and with which bytes each arrives. Script.Way returns the state of a connection's
+// Draw and DrawConnectionFaults generate a Script from a seed. DatagramFaults applies a script to datagrams and
+// returns when and with which bytes each arrives. Script.ConnectionState returns the state of a connection's
 // link. The package opens no sockets, reads no clock and controls no processes: the caller gives it
 // the time and carries out the process faults. The simulation in virtual time and the tests with
 // real processes, which pass their datagrams through a proxy, use the same scripts. A failure found
@@ -44,7 +44,7 @@
 	return slices.Contains([]Kind{Loss, Runs, Delay, Jitter, Duplicate, Corrupt, Cut, Split, Break}, k)
 }
 
-// Discovery and Targets are the values of Fault.Ways for links that carry connections, not datagrams.
+// Discovery and Targets are the values of Fault.Links for links that carry connections, not datagrams.
 // Cut stalls such a connection in both directions; transfer resumes when the fault ends.
 const (
 	Discovery = "discovery"
@@ -57,7 +57,7 @@
 	At       units.Millis `toml:"at" json:"at_ms"`
 	Lasts    units.Millis `toml:"lasts" json:"lasts_ms"`
 	From     []int        `toml:"from" json:"from,omitempty"` // link faults: senders, all if empty; process faults: the affected schedulers
-	To       []int        `toml:"to" json:"to,omitempty"`     // receivers, all if empty; targets if Ways is Targets
+	To       []int        `toml:"to" json:"to,omitempty"`     // receivers, all if empty; targets if Links is Targets
 	Parts    [][]int      `toml:"parts" json:"parts,omitempty"`
 	Share    units.Share  `toml:"share" json:"share,omitempty"`
 	Backward bool         `toml:"back" json:"back,omitempty"` // step: set the clock backward
--- a/internal/faults/faults_test.go
+++ b/internal/faults/faults_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestPassAppliesEachFault(t *testing.T) {
-	pass := func(f Fault, now float64, from, to int) (arrived int, maxDelay float64, changed int) {
+func TestDeliverAppliesEachFault(t *testing.T) {
+	deliver := func(f Fault, now float64, from, to int) (arrived int, maxDelay float64, changed int) {
 		n := &DatagramFaults{Script: Script{f}, MeanDelay: 2, Rng: rand.New(rand.NewPCG(1, 2))}
 		for i := range 2000 {
 			for _, d := range n.Deliver(now+float64(i)/100, from, to, "packet") {
@@ -40,11 +40,11 @@
 		"duplicate":               {duringFault(Fault{Kind: Duplicate, Share: 1, Size: 100}), 0, 1, 4000, 4000, 90, 0},
 		"corrupt":                 {duringFault(Fault{Kind: Corrupt, Share: 1}), 0, 1, 2000, 2000, 0, 2000},
 	} {
-		arrived, maxDelay, changed := pass(c.f, 1000, c.from, c.to)
+		arrived, maxDelay, changed := deliver(c.f, 1000, c.from, c.to)
 		require.True(t, arrived >= c.minArrived && arrived <= c.maxArrived, "%s: %d arrived", name, arrived)
 		require.GreaterOrEqual(t, maxDelay, c.minDelay, name)
 		require.EqualValues(t, c.changed, changed, name)
-		arrived, maxDelay, _ = pass(c.f, 2000, c.from, c.to)
+		arrived, maxDelay, _ = deliver(c.f, 2000, c.from, c.to)
 		require.Equal(t, 2000, arrived, "%s: no fault after its end", name)
 		require.LessOrEqual(t, maxDelay, 3.0)
 	}
--- a/internal/gearman/clients.go
+++ b/internal/gearman/clients.go
@@ -8,7 +8,7 @@
 	"cottonwell/internal/core"
 )
 
-// job is a flow that Gearman clients submitted. It is the flow's listener.
+// job is a flow that Gearman clients submitted. It is the flow's response receiver.
 type job struct {
 	server           *Server
 	handle, id       string // Gearman uses the handle; the core and HTTP targets use the id
@@ -101,11 +101,11 @@
 // truncate limits text from the other side to 64 bytes, for error texts.
 func truncate(s string) string { return s[:min(len(s), 64)] }
 
-// Respond implements core.Listener.
-func (j *job) Respond(answer core.Response) { j.server.finish(j, answer) }
+// Respond implements core.ResponseReceiver.
+func (j *job) Respond(response core.Response) { j.server.finish(j, response) }
 
 // finish removes a job and sends each waiting client its one final packet.
-func (s *Server) finish(j *job, answer core.Response) {
+func (s *Server) finish(j *job, response core.Response) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if j.finished {
@@ -117,14 +117,14 @@
 		delete(s.jobsByUnique, j.function+"\x00"+j.unique)
 	}
 	for _, c := range j.waitingClients {
-		switch answer.Kind {
+		switch response.Kind {
 		case core.Served:
-			c.respond(WorkComplete, j.handle, answer.Body)
+			c.respond(WorkComplete, j.handle, response.Body)
 		case core.Refused:
-			j.sendReason(c, "refused; retry-after="+strconv.FormatFloat(max(1, answer.RetryAfter)/1000, 'f', -1, 64))
+			j.sendReason(c, "refused; retry-after="+strconv.FormatFloat(max(1, response.RetryAfter)/1000, 'f', -1, 64))
 			c.respond(WorkFail, j.handle)
 		default:
-			if answer.TimedOut {
+			if response.TimedOut {
 				j.sendReason(c, "failed; out of time")
 			}
 			c.respond(WorkFail, j.handle)
@@ -133,7 +133,7 @@
 	j.waitingClients = nil
 }
 
-// sendReason sends the reason why a job failed: as WORK_EXCEPTION if the client asked for
+// sendReason sends the reason why a job failed: as WORK_EXCEPTION if the client requested
 // exceptions, and as WORK_WARNING otherwise.
 func (j *job) sendReason(c *conn, reason string) {
 	if c.exceptions {
@@ -143,7 +143,7 @@
 	}
 }
 
-// Progress implements core.Listener.
+// Progress implements core.ResponseReceiver.
 func (j *job) Progress(progress core.Progress) {
 	j.server.mu.Lock()
 	defer j.server.mu.Unlock()
--- a/internal/gearman/packet.go
+++ b/internal/gearman/packet.go
@@ -20,7 +20,7 @@
 //   - A job with the function and unique of a job in flight joins that flow. Every client
 //     gets exactly one final packet of its own.
 //   - A class with keys uses the unique as its key, so its jobs must have a unique.
-//   - A refusal is WORK_EXCEPTION (for clients that asked for exceptions) or else WORK_WARNING
+//   - A refusal is WORK_EXCEPTION (for clients that requested exceptions) or else WORK_WARNING
 //     with the text "refused; retry-after=SECONDS". WORK_FAIL follows as the final packet.
 //   - CAN_DO_TIMEOUT is handled as CAN_DO: deadlines come from the operator's file, per function.
 //   - Jobs of a higher priority are assigned first among the queued ones, and never preempt a job.
--- a/internal/gearman/server.go
+++ b/internal/gearman/server.go
@@ -43,7 +43,7 @@
 	Workers     []Worker   `toml:"worker"`
 }
 
-// Source is the name of this front as a source of targets at the core.
+// SourceName is the name of this front as a source of targets at the core.
 const SourceName = "gearman"
 
 // Scheduler is the part of the core that this front uses.
@@ -64,7 +64,7 @@
 	version         = "cottonwell"
 )
 
-// Server is the Gearman front. It is both a listener and a target transport.
+// Server is the Gearman front. It is both a front for clients and a target transport.
 type Server struct {
 	cfg     Config
 	name    string // part of every handle and id; differs after each start
@@ -108,7 +108,7 @@
 	net.Conn
 	outbox     chan outgoing
 	writerDone chan struct{} // closed when writeOutbox returns
-	exceptions bool          // the client asked for WORK_EXCEPTION
+	exceptions bool          // the client requested WORK_EXCEPTION
 	worker     *worker
 }
 
--- a/internal/gearman/workers.go
+++ b/internal/gearman/workers.go
@@ -80,14 +80,14 @@
 		return protocolError("no_client_id SET_CLIENT_ID comes before CAN_DO: the name says where a worker stands")
 	}
 	w.functions[name] = true
-	update := w.groupUpdate(s)
+	update := w.targetUpdate(s)
 	s.mu.Unlock()
 	s.core.UpdateTargets(SourceName, update)
 	return nil
 }
 
 // cantDo removes one function from the ones that a worker can run, or all of them if name is
-// empty. Queued attempts that the worker can no longer run end at once as not begun.
+// empty. Queued attempts that the worker can no longer run end at once as not started.
 func (s *Server) cantDo(c *conn, name string) {
 	s.mu.Lock()
 	w := c.worker
@@ -108,7 +108,7 @@
 		withdrawn = append(withdrawn, a)
 		return true
 	})
-	update := w.groupUpdate(s)
+	update := w.targetUpdate(s)
 	s.mu.Unlock()
 	s.core.UpdateTargets(SourceName, update)
 	for _, a := range withdrawn {
@@ -116,9 +116,9 @@
 	}
 }
 
-// groupUpdate returns a change of the core's target list with the current state of w. The
-// caller holds the server's mu.
-func (w *worker) groupUpdate(s *Server) core.TargetList {
+// targetUpdate returns a change of the core's target list with the current state of w. The
+// caller must hold the server's mu.
+func (w *worker) targetUpdate(s *Server) core.TargetList {
 	member := balance.Member{ID: w.targetID(), Zone: w.Zone, Kind: w.Kind, Cell: w.Pod, State: balance.Ready, Weight: 1}
 	for name := range w.functions {
 		if f := s.function(name); f != nil && !strings.Contains(member.Classes, ","+f.Class+",") {
@@ -226,7 +226,7 @@
 		}
 		for _, x := range w.assigned {
 			if x.AttemptRef == a.AttemptRef && !a.OnlyIfUnsent {
-				x.cancelled = true // it stays assigned, since the worker is still busy with it
+				x.cancelled = true // it remains assigned, since the worker is still busy with it
 			}
 		}
 	}
@@ -380,7 +380,7 @@
 	queued, assigned := w.queued, slices.Collect(maps.Values(w.assigned))
 	w.queued = nil
 	clear(w.assigned)
-	update := w.groupUpdate(s)
+	update := w.targetUpdate(s)
 	s.mu.Unlock()
 	s.core.UpdateTargets(SourceName, update) // before the outcomes, so that the core sends no retry to this worker
 	for _, a := range queued {
--- a/internal/logcheck/logcheck.go
+++ b/internal/logcheck/logcheck.go
@@ -114,7 +114,7 @@
 type Result struct {
 	Script        faults.Script `json:"script"`
 	Holdings      []Holding     `json:"holdings"`
-	DoubleHolders int           `json:"double"`       // times that two schedulers believed to hold one duty at once
+	DoubleHolders int           `json:"double"`       // times that two schedulers believed at once that they held a duty
 	NonIncreasing int           `json:"falling"`      // holdings whose number is not above all earlier ones of the duty
 	ActsTaken     int           `json:"acts"`         // acts of holders that other schedulers accepted
 	ActsRefused   int           `json:"refused_acts"` // acts that were refused because of their number
