--- a/cmd/cottonwell/leases_test.go
+++ b/cmd/cottonwell/leases_test.go
@@ -10,8 +10,9 @@
 	"cottonwell/internal/config"
 )
 
-// A scheduler that has no watch counts as told after the time that the settings give, if that is the shorter one.
-func TestLeaseWithoutAWatchFollowsTheSettings(t *testing.T) {
+// The platform considers a scheduler without an open watch notified after the time that the settings give, if that is shorter
+// than the usual time. The lease must end before it.
+func TestUnwatchedLeaseFollowsSettings(t *testing.T) {
 	for _, c := range []struct {
 		discovery string
 		pushed    bool
@@ -26,7 +27,7 @@
 		{"a", true, 3 * time.Second, 5700},
 		{"", false, 3 * time.Second, 0},
 	} {
-		cfg := &config.Config{Discovery: c.discovery, Pushed: c.pushed, Settings: balance.Settings{AskWithin: c.within}}
+		cfg := &config.Config{Discovery: c.discovery, ListsPushed: c.pushed, Settings: balance.Settings{MaxQueryInterval: c.within}}
 		require.Equal(t, c.want, unwatchedLease(cfg), "%+v", c)
 		require.LessOrEqual(t, unwatchedLease(cfg), listLease(cfg))
 	}
--- a/internal/net/discovery/discovery_test.go
+++ b/internal/net/discovery/discovery_test.go
@@ -18,16 +18,16 @@
 	"cottonwell/internal/net/httpio"
 )
 
-// Failure (vast days): a list that was held at version 0 was taken for none, so that after a release every
-// scheduler asked for the whole list, and most calls failed. A watch goes on from the last version it has read. After a line that cannot be read, what
-// it changed is unknown: only the whole list mends that.
-func TestWatchGoesOnWhereItWas(t *testing.T) {
+// A watch resumes from the last version it has read. The fault: a list of version 0 counted as no list, so that
+// after a release every scheduler requested the whole list, and most requests failed. After an unreadable line its
+// changes are unknown, and only the whole list restores them.
+func TestWatchResumesFromLastVersion(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer ln.Close()
-	groups := make(chan core.Group, 9)
+	lists := make(chan core.TargetList, 9)
 	w := New(Config{Address: ln.Addr().String(), Clock: clock.NewManual(1), Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
-		Stack: httpio.NewStack(), Held: true, From: 0, Tell: func(g core.Group) { groups <- g }})
+		Stack: httpio.NewStack(), HasList: true, FromVersion: 0, OnList: func(g core.TargetList) { lists <- g }})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { w.Run(ctx); close(done) }()
@@ -38,7 +38,7 @@
 		{"43", "200 OK", "{not a list}\n"},
 		{"", "200 OK", `{"index":50,"snapshot":true,"endpoints":[]}` + "\n"},
 	} {
-		w.Watch()
+		w.RequestWatch()
 		c, err := ln.Accept()
 		require.NoError(t, err)
 		req, err := http.ReadRequest(bufio.NewReader(c))
@@ -48,15 +48,15 @@
 		_, err = fmt.Fprintf(c, "HTTP/1.1 %s\r\nConnection: close\r\n\r\n%s", round.status, round.text)
 		require.NoError(t, err)
 		if round.from == "0" {
-			g := <-groups
+			g := <-lists
 			require.Equal(t, balance.Changes, g.Scope)
-			require.Len(t, g.Targets, 2, "an entry without a name is passed over")
-			require.Equal(t, balance.Draining, g.Targets[1].State, "nothing is sent where the status is unknown")
+			require.Len(t, g.Targets, 2, "an entry without a name is ignored")
+			require.Equal(t, balance.Draining, g.Targets[1].State, "a target of unknown status receives nothing")
 		}
 		if round.from == "" {
-			require.Equal(t, balance.Whole, (<-groups).Scope)
+			require.Equal(t, balance.Complete, (<-lists).Scope)
 		}
 		c.Close()
-		require.Equal(t, balance.AskFailed, (<-groups).Scope, "the end of a watch is told")
+		require.Equal(t, balance.RequestFailed, (<-lists).Scope, "the end of a watch is reported")
 	}
 }
