--- a/balance/api.go
+++ b/balance/api.go
@@ -147,7 +147,7 @@
 
 // The kinds of events, with the fields that each uses.
 const (
-	Arrived       EventKind = iota // a request arrived: Request, Class, Key, Budget, Hint, Slots, Repeat
+	Arrived       EventKind = iota // a request arrived: Request, Class, Key, Budget, Hint, Slots, MarkedRetry
 	Departed                       // the client left or its deadline passed: Request
 	Ended                          // an attempt ended: Request, Attempt, Worker, Result, Final, Elapsed, Report
 	Progressed                     // an attempt reported progress: Request, Attempt, Worker, Started or Fraction
@@ -251,8 +251,8 @@
 	Budget      time.Duration // time until the client leaves
 	Hint        time.Duration // expected work; 0 if unknown
 	Slots       float64
-	Repeat      bool
-	First       bool // certainly the client's first try, whatever its Budget
+	MarkedRetry bool
+	FirstTry    bool // certainly the client's first try, whatever its Budget
 	Priority    int  // queued requests of a higher priority go first; 0 is usual
 	List        ListScope
 	Members     []Member
--- a/balance/clock_test.go
+++ b/balance/clock_test.go
@@ -84,7 +84,7 @@
 		h := newHarness(t, baseSettings(), newMembers(3)...)
 		id, w := h.sendRequest()
 		h.end(id, w, OK, Report{})
-		acts := h.step(Event{Kind: Arrived, Request: 1000, Class: "c", Budget: budget, Slots: 1, First: true})
+		acts := h.step(Event{Kind: Arrived, Request: 1000, Class: "c", Budget: budget, Slots: 1, FirstTry: true})
 		if h.balancer.requests[1000].firstTryAt != h.now || findAction(acts, Send) == nil {
 			t.Errorf("a first try with a budget of %v counts as a later one", budget)
 		}
--- a/balance/request.go
+++ b/balance/request.go
@@ -27,9 +27,9 @@
 	// A budget below the usual one belongs to a later try, which has only the rest of the deadline. The usual
 	// budget is learned: where each try gets only a part of the deadline, first tries would otherwise count
 	// as late ones and be refused.
-	if !ev.First {
+	if !ev.FirstTry {
 		c.longestBudget = max(c.longestBudget, ev.Budget)
-		if ev.Budget < c.longestBudget*49/50 && (ev.Repeat || !b.settings.ClientsMarkRetries) {
+		if ev.Budget < c.longestBudget*49/50 && (ev.MarkedRetry || !b.settings.ClientsMarkRetries) {
 			r.firstTryAt = now - max(0, c.Deadline-ev.Budget)
 		}
 	}
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -415,7 +415,7 @@
 	if c.InOrder {
 		s.checker.keyOrder[r.key] = append(s.checker.keyOrder[r.key], r)
 	}
-	ev := Event{Kind: Arrived, Request: id, Class: c.Name, Budget: budget, Slots: r.slots, Repeat: s.rng.IntN(5) == 0, Key: r.key}
+	ev := Event{Kind: Arrived, Request: id, Class: c.Name, Budget: budget, Slots: r.slots, MarkedRetry: s.rng.IntN(5) == 0, Key: r.key}
 	s.step(ev)
 }
 
--- a/cmd/cottonwell/serve.go
+++ b/cmd/cottonwell/serve.go
@@ -178,7 +178,7 @@
 		HasList: len(cfg.Known.Endpoints) > 0, FromVersion: cfg.Known.Index, OnList: func(list core.TargetList) { sink.UpdateTargets("discovery", list) },
 		OnHeartbeat:     func(readAt float64) { sink.Heartbeat("discovery", readAt) },
 		OnAddressChange: func() { sink.DiscoveryAddressChanged("discovery") }})
-	knownList, err := cfg.Known.TargetGroup()
+	knownList, err := cfg.Known.TargetList()
 	if err != nil {
 		log.Warn("entry of the known list ignored", "cause", err)
 	}
@@ -365,7 +365,7 @@
 		}
 		var handedOver, dropped int64
 		if s.handover != nil {
-			handedOver, dropped = s.handover.Counts.PassedOn.Load(), s.handover.Counts.Dropped.Load()
+			handedOver, dropped = s.handover.Counts.Forwarded.Load(), s.handover.Counts.Dropped.Load()
 		}
 		coreStats, targetCounts, listenerCounts := s.core.Stats(), &s.targets.Counts, &s.listener.Counts
 		s.log.Info("books", "open", coreStats.Open, "taken", coreStats.Accepted, "served", coreStats.Served, "refused", coreStats.Refused, "failed", coreStats.Failed,
--- a/cmd/cottonwell/takeover.go
+++ b/cmd/cottonwell/takeover.go
@@ -43,7 +43,7 @@
 func (s handoverProcess) ReceiveCallback(callback core.TargetCallback) {
 	s.core.ReceiveCallback(callback)
 }
-func (s handoverProcess) Maintained() []string { return s.core.Maintained() }
+func (s handoverProcess) Maintained() []string { return s.core.OfflineTargets() }
 func (s handoverProcess) Maintain(target string, offline bool) {
 	if offline {
 		s.core.InheritOffline(target)
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -180,7 +180,7 @@
 		requireDuty(health.Duty)
 	}
 	if f.Accountant != nil {
-		cfg.Shares = f.Accountant.newConfig(s, len(peers), cfg.Lease.RunID)
+		cfg.Usage = f.Accountant.newConfig(s, len(peers), cfg.Lease.RunID)
 		requireDuty(usage.Duty)
 	}
 	if f.Rules != nil {
--- a/internal/core/admit.go
+++ b/internal/core/admit.go
@@ -33,8 +33,8 @@
 	// The decision module normally decides before the deadline. This timer is for a fault of the module.
 	c.timers.add(timer{at: f.deadline + clock.Millis(c.cfg.Settings.ResponseSlack)/2, kind: flowTimer, id: f.number})
 	c.enqueue(balance.Event{Kind: balance.Arrived, Request: f.number, Class: f.Class, Key: f.Subject,
-		Budget: clock.Duration(f.deadline - c.clock.Now()), Hint: clock.Duration(f.ExpectedWorkMS), Slots: f.Slots, Memory: f.Memory, Tenant: f.Tenant, Repeat: f.MarkedRetry,
-		First: f.FirstTry, Priority: f.Job.Priority})
+		Budget: clock.Duration(f.deadline - c.clock.Now()), Hint: clock.Duration(f.ExpectedWorkMS), Slots: f.Slots, Memory: f.Memory, Tenant: f.Tenant, MarkedRetry: f.MarkedRetry,
+		FirstTry: f.FirstTry, Priority: f.Job.Priority})
 }
 
 // reject gives a flow that is not admitted its final response.
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -230,7 +230,7 @@
 			}
 		}
 	}
-	s.Transport.Listed(c.applyMaintenance(e.list))
+	s.Transport.UpdateTargets(c.applyMaintenance(e.list))
 	c.enqueue(ev)
 	c.afterLeaseEvent(s, changed)
 	if c.cfg.ReportTargets != nil {
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -29,12 +29,12 @@
 	progress  []Progress
 }
 
-func (h *harness) Start(a Attempt)     { h.started = append(h.started, a) }
-func (h *harness) Cancel(a Attempt)    { h.cancelled = append(h.cancelled, a) }
-func (h *harness) Probe(string)        {}
-func (h *harness) Listed(TargetList)   {}
-func (h *harness) Respond(a Response)  { h.answers = append(h.answers, a) }
-func (h *harness) Progress(p Progress) { h.progress = append(h.progress, p) }
+func (h *harness) Start(a Attempt)          { h.started = append(h.started, a) }
+func (h *harness) Cancel(a Attempt)         { h.cancelled = append(h.cancelled, a) }
+func (h *harness) Probe(string)             {}
+func (h *harness) UpdateTargets(TargetList) {}
+func (h *harness) Respond(a Response)       { h.answers = append(h.answers, a) }
+func (h *harness) Progress(p Progress)      { h.progress = append(h.progress, p) }
 
 func newHarness(t *testing.T, targets int) *harness {
 	h := &harness{t: t, clock: clock.NewManual(1.7e12)}
--- a/internal/core/maintenance.go
+++ b/internal/core/maintenance.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// Maintained returns the targets that are offline.
-func (c *Core) Maintained() []string {
+// OfflineTargets returns the targets that are offline.
+func (c *Core) OfflineTargets() []string {
 	targets := make(chan []string, 1)
 	c.post(maintainedQuery{targets})
 	select {
@@ -83,7 +83,7 @@
 		ev.Members = append(ev.Members, t.Member)
 	}
 	sortMembers(ev.Members)
-	s.Transport.Listed(list)
+	s.Transport.UpdateTargets(list)
 	c.enqueue(ev)
 }
 
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -121,8 +121,8 @@
 	Start(Attempt)
 	Cancel(Attempt)
 	Probe(target string)
-	// Listed passes a new list, or changes to it, before any attempt is dispatched on the basis of it.
-	Listed(TargetList)
+	// UpdateTargets passes a new list, or changes to it, before any attempt is dispatched on the basis of it.
+	UpdateTargets(TargetList)
 }
 
 // Source is a transport with the provider of its list of targets.
--- a/internal/decision/decision.go
+++ b/internal/decision/decision.go
@@ -97,7 +97,7 @@
 	return actions
 }
 
-// View returns the module's current estimate of a target. The bool is false if the target is not listed.
-func (d *Decider) View(now time.Duration, target string) (balance.WorkerEstimate, bool) {
+// Estimate returns the module's current estimate of a target. The bool is false if the target is not listed.
+func (d *Decider) Estimate(now time.Duration, target string) (balance.WorkerEstimate, bool) {
 	return d.module.WorkerEstimate(now, target)
 }
--- a/internal/emulator/simulation.go
+++ b/internal/emulator/simulation.go
@@ -355,7 +355,7 @@
 		}
 	})
 	w.step(s, balance.Event{Kind: balance.Arrived, Request: id, Class: c.Name, Tenant: a.Tenant, Budget: toDuration(f.deadline - w.Now),
-		Slots: float64(a.Slots), Memory: a.Memory, Priority: c.Priority, Repeat: retries > 0, First: retries == 0})
+		Slots: float64(a.Slots), Memory: a.Memory, Priority: c.Priority, MarkedRetry: retries > 0, FirstTry: retries == 0})
 }
 
 // close marks a flow as finished.
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -26,7 +26,7 @@
 	Members   members.Config
 	Lease     lease.Config
 	Health    *health.Config // nil disables the shared health checks
-	Shares    *usage.Config  // nil disables the shared usage counts
+	Usage     *usage.Config  // nil disables the shared usage counts
 	Rules     *rules.Config  // nil disables agreed settings: each scheduler uses its own
 	Addresses []string       // of the schedulers, by number
 }
@@ -44,8 +44,8 @@
 			return err
 		}
 	}
-	if c.Shares != nil {
-		if err := c.Shares.Check(); err != nil {
+	if c.Usage != nil {
+		if err := c.Usage.Check(); err != nil {
 			return err
 		}
 	}
@@ -54,7 +54,7 @@
 			return err
 		}
 	}
-	for name, on := range map[string]bool{health.Duty: c.Health != nil, usage.Duty: c.Shares != nil, rules.Duty: c.Rules != nil} {
+	for name, on := range map[string]bool{health.Duty: c.Health != nil, usage.Duty: c.Usage != nil, rules.Duty: c.Rules != nil} {
 		if on && !slices.ContainsFunc(c.Lease.Duties, func(d lease.Duty) bool { return d.Name == name }) {
 			return fmt.Errorf("fleet: duty %q is not configured", name)
 		}
@@ -208,8 +208,8 @@
 			return nil, err
 		}
 	}
-	if config.Shares != nil {
-		if m.usage, err = usage.New(*config.Shares, now); err != nil {
+	if config.Usage != nil {
+		if m.usage, err = usage.New(*config.Usage, now); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/gearman/workers.go
+++ b/internal/gearman/workers.go
@@ -154,8 +154,8 @@
 	return ""
 }
 
-// Listed implements core.Transport. It does nothing, since this front announces its own targets.
-func (s *Server) Listed(core.TargetList) {}
+// UpdateTargets implements core.Transport. It does nothing, since this front announces its own targets.
+func (s *Server) UpdateTargets(core.TargetList) {}
 
 // Probe implements core.Transport. The protocol has no probe of a worker, so the result is
 // derived from the server's own state.
--- a/internal/net/discovery/list.go
+++ b/internal/net/discovery/list.go
@@ -26,9 +26,9 @@
 	SinceMS float64 `json:"since_ms"`
 }
 
-// TargetGroup converts the list for the core. An entry that cannot be read is left out; the error then names it,
+// TargetList converts the list for the core. An entry that cannot be read is left out; the error then names it,
 // and the other entries are valid.
-func (l *List) TargetGroup() (core.TargetList, error) {
+func (l *List) TargetList() (core.TargetList, error) {
 	list := core.TargetList{Scope: balance.Changes}
 	if l.Snapshot {
 		list.Scope = balance.Complete
--- a/internal/net/discovery/watch.go
+++ b/internal/net/discovery/watch.go
@@ -142,7 +142,7 @@
 
 // deliver passes on a list whose first byte was read at startedAt.
 func (x *watch) deliver(list *List, startedAt float64) {
-	targets, err := list.TargetGroup()
+	targets, err := list.TargetList()
 	if err != nil {
 		x.Log.Warn("list entry ignored", "cause", err)
 	}
--- a/internal/net/fleethost/fleethost.go
+++ b/internal/net/fleethost/fleethost.go
@@ -89,7 +89,7 @@
 			return h.checkDrains(d)
 		}
 	}
-	if shares := c.Fleet.Shares; shares != nil {
+	if shares := c.Fleet.Usage; shares != nil {
 		h.tenantIndex, h.counts, h.countSnapshot = map[string]int{}, make([]atomic.Uint64, len(shares.Tenants)), make([]uint64, len(shares.Tenants))
 		for i, t := range shares.Tenants {
 			h.tenantIndex[t.Name] = i
--- a/internal/net/fleethost/fleethost_test.go
+++ b/internal/net/fleethost/fleethost_test.go
@@ -66,7 +66,7 @@
 		c.Rules = &agree
 		add := usage.Default()
 		add.Self, add.Fleet, add.RunID, add.Tenants = i, n, uint32(i), []usage.Tenant{{Name: "much", Allowance: 100}, {Name: "little", Allowance: 100}}
-		c.Shares = &add
+		c.Usage = &add
 		examine := health.Default()
 		examine.Self, examine.Fleet = i, n
 		c.Health = &examine
--- a/internal/net/handover/handover.go
+++ b/internal/net/handover/handover.go
@@ -43,7 +43,7 @@
 }
 
 // Counts are the counters of a link, for the log.
-type Counts struct{ PassedOn, Dropped atomic.Int64 }
+type Counts struct{ Forwarded, Dropped atomic.Int64 }
 
 // Link is a process's own socket, and its connection to the other processes of the scheduler.
 type Link struct {
@@ -188,7 +188,7 @@
 		l.log.Debug("handover", "word", path, "to", socket, "cause", err)
 		return
 	}
-	l.Counts.PassedOn.Add(1)
+	l.Counts.Forwarded.Add(1)
 }
 
 // OtherReady reports whether another process accepts clients.
--- a/internal/net/handover/handover_test.go
+++ b/internal/net/handover/handover_test.go
@@ -101,7 +101,7 @@
 	require.Empty(t, newer.callbacks)
 	require.Empty(t, otherScheduler.callbacks, "another scheduler")
 	require.Empty(t, otherAddress.callbacks, "another scheduler of the same name")
-	require.Eventually(t, func() bool { return second.Counts.PassedOn.Load() == 2 }, waitTimeout, time.Millisecond)
+	require.Eventually(t, func() bool { return second.Counts.Forwarded.Load() == 2 }, waitTimeout, time.Millisecond)
 }
 
 // The socket of a killed process is removed. A process that hangs delays no caller beyond the timeout, and
@@ -127,7 +127,7 @@
 		l.Forward(core.TargetCallback{ID: "x"})
 	}
 	require.Positive(t, l.Counts.Dropped.Load())
-	require.Zero(t, l.Counts.PassedOn.Load())
+	require.Zero(t, l.Counts.Forwarded.Load())
 }
 
 func TestPathTooLong(t *testing.T) {
--- a/internal/net/target/target.go
+++ b/internal/net/target/target.go
@@ -95,8 +95,8 @@
 	return len(t.running)
 }
 
-// Listed implements core.Transport: it applies a target list or changes to it.
-func (t *Transport) Listed(list core.TargetList) {
+// UpdateTargets implements core.Transport: it applies a target list or changes to it.
+func (t *Transport) UpdateTargets(list core.TargetList) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	seen := map[string]bool{}
--- a/internal/net/target/target_test.go
+++ b/internal/net/target/target_test.go
@@ -46,7 +46,7 @@
 }
 
 func (b *fixture) list(s balance.State) {
-	b.Listed(core.TargetList{Scope: balance.Changes, Targets: []core.Target{{Member: balance.Member{ID: "t", State: s}, Address: b.ln.Addr().String()}}})
+	b.UpdateTargets(core.TargetList{Scope: balance.Changes, Targets: []core.Target{{Member: balance.Member{ID: "t", State: s}, Address: b.ln.Addr().String()}}})
 }
 
 func (b *fixture) start(n int) core.Attempt {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -419,7 +419,7 @@
 		case "ram-units":
 			event.Memory = f.float()
 		case "resent":
-			event.Repeat = f.bool()
+			event.MarkedRetry = f.bool()
 		case "what":
 			event.Started, f.present = f.int() == 1, f.present|hasWhat
 		case "x":
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -70,7 +70,7 @@
 		{Kind: List, Instance: 3, Buffer: 2, Event: balance.Event{Kind: balance.Listed, List: balance.Changes}},
 		{Kind: List, Instance: 3, Event: balance.Event{Kind: balance.Listed, List: balance.RequestFailed}},
 		event(balance.Event{Kind: balance.Arrived, Request: 794656413225412, Class: "a", Tenant: "t", Key: "data/k", Budget: 240 * time.Millisecond,
-			Hint: 12 * time.Millisecond, Slots: 2, Repeat: true}),
+			Hint: 12 * time.Millisecond, Slots: 2, MarkedRetry: true}),
 		event(balance.Event{Kind: balance.Ended, Request: 5, Attempt: 1, Worker: "10.0.0.7:1", Result: balance.Full,
 			Final: true, Elapsed: 70 * us, Report: balance.Report{Present: true, InFlight: 7, Waiting: 3, Free: 0.4}}),
 		event(balance.Event{Kind: balance.Progressed, Request: 5, Attempt: 1, Worker: "10.0.0.7:1", Fraction: 0.5}),
