--- a/internal/net/handover/handover.go
+++ b/internal/net/handover/handover.go
@@ -1,6 +1,6 @@
 // Package handover connects two processes of one scheduler, the old and the new version, while they run side by
 // side. Each process has a Unix socket in a common directory, and finds the others there. Over it a process
-// forwards targets' call-backs about jobs that the other one holds, announces targets under maintenance, and
+// forwards targets' callbacks about jobs that the other one holds, announces targets under maintenance, and
 // reports whether it accepts clients. The messages are HTTP with JSON bodies. The package neither starts nor stops
 // a process, and does not retry a message.
 package handover
@@ -155,7 +155,7 @@
 	return paths
 }
 
-// Forward forwards a target's call-back about a job that is unknown here to the other processes. It does not block.
+// Forward forwards a target's callback about a job that is unknown here to the other processes. It does not block.
 func (l *Link) Forward(n core.TargetCallback) { l.send("/news", n) }
 
 // Maintain announces to the other processes that a target is offline or online. It does not block.
--- a/internal/net/httpio/exchange.go
+++ b/internal/net/httpio/exchange.go
@@ -61,7 +61,7 @@
 	return table[i].result, true
 }
 
-// ForJobState returns the exchange for a call-back's state, or "" if that state does not end an attempt.
+// ForJobState returns the exchange for a callback's state, or "" if that state does not end an attempt.
 func ForJobState(state string) Exchange {
 	switch x := Exchange(state); x {
 	case JobDone, JobFailed, JobReturned, JobLost:
--- a/internal/net/httpio/httpio_test.go
+++ b/internal/net/httpio/httpio_test.go
@@ -25,7 +25,7 @@
 	require.Equal(t, Rejected, ForStatus(504, true))
 	require.Equal(t, Status500, ForStatus(500, true))
 	_, known := Outcome(ForJobState("500"))
-	require.False(t, known, "a call-back cannot report what only a response can")
+	require.False(t, known, "a callback cannot report what only a response can")
 }
 
 func TestLoadReports(t *testing.T) {
--- a/internal/net/listener/connectionslots.go
+++ b/internal/net/listener/connectionslots.go
@@ -31,7 +31,7 @@
 }
 
 // connectionSlots manages the connections of a listener. When all slots are taken, a new connection gets the slot
-// of an inactive one rather than wait: call-backs arrive at the same address, and without them no job ends.
+// of an inactive one rather than wait: callbacks arrive at the same address, and without them no job ends.
 //
 // Only a connection's own goroutine closes it, except at the very end. Other goroutines mark the slot and wake the
 // reader, which first checks whether a request has arrived. If they closed the connection themselves, a request that
--- a/internal/net/listener/listener.go
+++ b/internal/net/listener/listener.go
@@ -1,6 +1,6 @@
 // Package listener serves the clients' side of the platform's protocol over HTTP: jobs, the readiness page, and the
-// call-backs by which targets report the progress and outcome of a job. It is given accepted connections and a
-// budget of sockets. It passes each valid job and call-back to the core, and writes the core's response to the
+// callbacks by which targets report the progress and outcome of a job. It is given accepted connections and a
+// budget of sockets. It passes each valid job and callback to the core, and writes the core's response to the
 // client. It chooses no targets and keeps no state of a job beyond its connection.
 package listener
 
@@ -39,7 +39,7 @@
 	ReceiveCallback(core.TargetCallback)
 }
 
-// Listener accepts clients' connections and targets' call-backs at one address.
+// Listener accepts clients' connections and targets' callbacks at one address.
 type Listener struct {
 	Core  Scheduler
 	Clock clock.Clock
@@ -121,7 +121,7 @@
 		slot, ok := l.slots.acquire(l.Stack.Wrap(conn))
 		if !ok {
 			// Every slot has a request in progress. Leaving the connection in the queue would also delay the
-			// call-backs behind it. A target retries its call-back.
+			// callbacks behind it. A target retries its callback.
 			l.Counts.RefusedNoSlot.Add(1)
 			l.Counts.Closes.Add(closedNoSlot)
 			l.rejectConn(&handlers, conn)
--- a/internal/net/listener/parse.go
+++ b/internal/net/listener/parse.go
@@ -124,7 +124,7 @@
 	return nil
 }
 
-// jobEvent is the body of a target's call-back.
+// jobEvent is the body of a target's callback.
 type jobEvent struct {
 	ID     string             `json:"id"`
 	From   string             `json:"from"`
--- a/internal/net/target/target.go
+++ b/internal/net/target/target.go
@@ -214,7 +214,7 @@
 	if a.Job.Body != nil {
 		a.Job.Body.Release()
 	}
-	if exchange != "" { // after a 202, call-backs report the outcome
+	if exchange != "" { // after a 202, callbacks report the outcome
 		t.reportEnd(a.AttemptRef, exchange, report)
 	}
 	if exchange != "" || !cancelled { // otherwise cancel reports the outcome
